--- a/cmd/doorvalve-bench/policy.go
+++ b/cmd/doorvalve-bench/policy.go
@@ -61,10 +61,10 @@
 func variants(b *bundle.Bundle, own float64) []variant {
 	list := []variant{
 		{"unload never", replay.Never, placement.EvictNever},
-		{"least recently used, on demand", replay.Never, placement.EvictOldest},
-		{"fixed idle time 1 min", replay.Fixed(time.Minute), placement.EvictOldest},
-		{"fixed idle time 5 min", replay.Fixed(5 * time.Minute), placement.EvictOldest},
-		{"fixed idle time 30 min", replay.Fixed(30 * time.Minute), placement.EvictOldest},
+		{"least recently used, on demand", replay.Never, placement.EvictLeastRecentlyUsed},
+		{"fixed idle time 1 min", replay.Fixed(time.Minute), placement.EvictLeastRecentlyUsed},
+		{"fixed idle time 5 min", replay.Fixed(5 * time.Minute), placement.EvictLeastRecentlyUsed},
+		{"fixed idle time 30 min", replay.Fixed(30 * time.Minute), placement.EvictLeastRecentlyUsed},
 	}
 	for _, weight := range []float64{1, 3, 8, 20, 40, 100, 300} {
 		name := fmt.Sprintf("learned, weight %g", weight)
--- a/cmd/doorvalve-bench/slopes.go
+++ b/cmd/doorvalve-bench/slopes.go
@@ -140,7 +140,7 @@
 func (g *group) observe() {
 	g.now = g.now.Add(time.Second)
 	for _, s := range g.states {
-		g.m.Step(g.now, placement.Observed{State: s, Fence: 1, Asked: g.now})
+		g.m.Step(g.now, placement.Observed{State: s, Fence: 1, RequestedAt: g.now})
 	}
 	r := g.m.Ready(g.now)
 	for _, o := range r.Orders {
@@ -179,7 +179,7 @@
 	var points []point
 	for _, daemons := range []int{7, 50, 150, 370} {
 		now := time.Unix(1_000_000, 0)
-		book := grants.NewBook()
+		book := grants.NewAllocator()
 		for d := range daemons {
 			book.Report(now, fmt.Sprintf("daemon-%d", d), []grants.UnitReport{{Unit: "model-0", InFlight: 1}, {Unit: "model-1", Waiting: []grants.Waiting{{Worth: 5, Count: 2, Deadline: now}}}})
 		}
@@ -264,9 +264,9 @@
 }
 
 func claimIndex(n int) any {
-	index := make(map[claims.Key]claims.Mark, n)
+	index := make(map[claims.Key]claims.ClaimHash, n)
 	for i := range n {
-		index[claims.MakeKey("c", "s", fmt.Sprint(i))] = claims.Mark(i)
+		index[claims.MakeKey("c", "s", fmt.Sprint(i))] = claims.ClaimHash(i)
 	}
 	return index
 }
--- a/cmd/doorvalvectl/explain_test.go
+++ b/cmd/doorvalvectl/explain_test.go
@@ -86,7 +86,7 @@
 }
 
 func TestEndpointLimitsOfAllDaemons(t *testing.T) {
-	view := quotas.LimitView{Endpoint: "app1", Rate: 2, HeardBy: "b"}
+	view := quotas.LimitView{Endpoint: "app1", Rate: 2, Reporter: "b"}
 	owned := view
 	owned.Owned = &quota.View{Demand: 7}
 	got := endpointLimits([]daemon.Dump{{ID: "a", Limits: []quotas.LimitView{view}}, {ID: "b", Limits: []quotas.LimitView{owned}}, {ID: "c"}})
--- a/cmd/doorvalvectl/limits.go
+++ b/cmd/doorvalvectl/limits.go
@@ -47,7 +47,7 @@
 		for _, v := range d.Limits {
 			l := byName[v.Endpoint]
 			if l == nil {
-				l = &EndpointLimit{Endpoint: v.Endpoint, Rate: v.Rate, HeardBy: v.HeardBy}
+				l = &EndpointLimit{Endpoint: v.Endpoint, Rate: v.Rate, HeardBy: v.Reporter}
 				byName[v.Endpoint] = l
 			}
 			l.Daemons++
--- a/cmd/doorvalved/main.go
+++ b/cmd/doorvalved/main.go
@@ -54,7 +54,7 @@
 
 func dump(d *daemon.Daemon, log *decisions.Log) {
 	state, err := json.Marshal(d.Dump())
-	log.Info(decisions.EventStateRequested, "state", string(state), "error", err)
+	log.Info(decisions.EventStateDump, "state", string(state), "error", err)
 }
 
 func main() {
--- a/coordination/access/access.go
+++ b/coordination/access/access.go
@@ -32,10 +32,10 @@
 }
 
 // Question is what a decision rests on.
-type Question struct {
-	Directory *workspace.Directory
-	Public    bool // the route takes requests without a key
-	Shown     protocol.Credential
+type Request struct {
+	Directory  *workspace.Directory
+	Public     bool // the route takes requests without a key
+	Credential protocol.Credential
 	// Age is up to how long ago it is certain that the directory was in force. It must have
 	// been asked for before the directory.
 	Age time.Duration
@@ -54,7 +54,7 @@
 )
 
 // Answer is the decision.
-type Answer struct {
+type Decision struct {
 	Outcome   Outcome
 	Workspace *workspace.Workspace // that the request is counted for; nil: none
 	Reason    string               // of a refusal: short, stable
@@ -69,36 +69,36 @@
 )
 
 // Decide decides on one request.
-func (b Bounds) Decide(q Question) Answer {
-	if !q.Directory.Keyed() {
-		return Answer{}
+func (b Bounds) Decide(q Request) Decision {
+	if !q.Directory.RequiresKey() {
+		return Decision{}
 	}
 	fresh := b.Revoke == 0 || q.Age < b.proven()
 	var found *workspace.Workspace
-	if q.Shown.Shown == protocol.ShownKey {
-		found = q.Directory.Find(q.Shown.Key)
+	if q.Credential.Kind == protocol.CredentialKey {
+		found = q.Directory.ByKey(q.Credential.Key)
 	}
 	switch {
 	case q.Public && !fresh:
-		return Answer{} // goes on, for nobody
+		return Decision{} // goes on, for nobody
 	case q.Public:
-		return Answer{Workspace: found}
+		return Decision{Workspace: found}
 	case !fresh:
-		return Answer{Outcome: Unproven, Reason: ReasonUnproven}
+		return Decision{Outcome: Unproven, Reason: ReasonUnproven}
 	case found != nil:
-		return Answer{Workspace: found}
-	case q.Age > b.Apply && q.Shown.Shown != protocol.ShownUnreadable:
+		return Decision{Workspace: found}
+	case q.Age > b.Apply && q.Credential.Kind != protocol.CredentialMalformed:
 		// The key, or the route's being public, may be newer than this view.
-		return Answer{Outcome: Unproven, Reason: ReasonUnproven}
+		return Decision{Outcome: Unproven, Reason: ReasonUnproven}
 	}
-	return Answer{Outcome: Denied, Reason: reasonOf(q.Shown.Shown)}
+	return Decision{Outcome: Denied, Reason: reasonOf(q.Credential.Kind)}
 }
 
-func reasonOf(shown protocol.Shown) string {
+func reasonOf(shown protocol.CredentialKind) string {
 	switch shown {
-	case protocol.ShownNothing:
+	case protocol.CredentialNone:
 		return ReasonNoKey
-	case protocol.ShownUnreadable:
+	case protocol.CredentialMalformed:
 		return ReasonBadKey
 	}
 	return ReasonUnknownKey
@@ -106,10 +106,10 @@
 
 // StillGood reports whether a key that was good as a request came still is, by the newest
 // directory: what has waited asks again before it is sent.
-func StillGood(newest *workspace.Directory, shown protocol.Credential, public bool, was *workspace.Workspace) bool {
-	if was == nil || public || !newest.Keyed() {
+func StillValid(newest *workspace.Directory, shown protocol.Credential, public bool, was *workspace.Workspace) bool {
+	if was == nil || public || !newest.RequiresKey() {
 		return true
 	}
-	now := newest.Find(shown.Key)
+	now := newest.ByKey(shown.Key)
 	return now != nil && now.Name == was.Name
 }
--- a/coordination/access/access_test.go
+++ b/coordination/access/access_test.go
@@ -8,18 +8,18 @@
 	"github.com/doorvalve/doorvalve/state/workspace"
 )
 
-var directory = workspace.NewDirectory([]workspace.Declared{
+var directory = workspace.NewDirectory([]workspace.Declaration{
 	{Workspace: workspace.Workspace{Name: "crew"}, Keys: []protocol.KeyHash{protocol.HashKey("k1"), protocol.HashKey("shared")}},
 	{Workspace: workspace.Workspace{Name: "night"}, Keys: []protocol.KeyHash{protocol.HashKey("k2"), protocol.HashKey("shared")}},
 })
 
 func shown(key string) protocol.Credential {
-	return protocol.Credential{Shown: protocol.ShownKey, Key: protocol.HashKey(key)}
+	return protocol.Credential{Kind: protocol.CredentialKey, Key: protocol.HashKey(key)}
 }
 
 func TestDecide(t *testing.T) {
 	const apply, revoke = 3 * time.Second, 5 * time.Second
-	none, unreadable := protocol.Credential{}, protocol.Credential{Shown: protocol.ShownUnreadable}
+	none, unreadable := protocol.Credential{}, protocol.Credential{Kind: protocol.CredentialMalformed}
 	for _, c := range []struct {
 		name   string
 		d      *workspace.Directory
@@ -45,7 +45,7 @@
 		{"a key on a public route", directory, true, shown("k2"), time.Second, Allowed, "night", ""},
 		{"a key on a public route, by an old view", directory, true, shown("k2"), revoke, Allowed, "", ""},
 	} {
-		got := Bounds{Apply: apply, Revoke: revoke}.Decide(Question{Directory: c.d, Public: c.public, Shown: c.shown, Age: c.age})
+		got := Bounds{Apply: apply, Revoke: revoke}.Decide(Request{Directory: c.d, Public: c.public, Credential: c.shown, Age: c.age})
 		who := ""
 		if got.Workspace != nil {
 			who = got.Workspace.Name
@@ -54,14 +54,14 @@
 			t.Errorf("%s: %+v for %q", c.name, got, who)
 		}
 	}
-	if got := (Bounds{Apply: apply}).Decide(Question{Directory: directory, Shown: shown("k1"), Age: time.Hour}); got.Outcome != Allowed {
+	if got := (Bounds{Apply: apply}).Decide(Request{Directory: directory, Credential: shown("k1"), Age: time.Hour}); got.Outcome != Allowed {
 		t.Errorf("a view of any age, without a bound on it: %+v", got)
 	}
 }
 
 func TestWhatWaitsAsksAgain(t *testing.T) {
-	crew := directory.Named("crew")
-	moved := workspace.NewDirectory([]workspace.Declared{
+	crew := directory.ByName("crew")
+	moved := workspace.NewDirectory([]workspace.Declaration{
 		{Workspace: workspace.Workspace{Name: "crew"}},
 		{Workspace: workspace.Workspace{Name: "night"}, Keys: []protocol.KeyHash{protocol.HashKey("k1")}},
 	})
@@ -76,7 +76,7 @@
 		{"the route is public", moved, true, true},
 		{"nobody needs a key any more", nil, false, true},
 	} {
-		if got := StillGood(c.newest, shown("k1"), c.public, crew); got != c.want {
+		if got := StillValid(c.newest, shown("k1"), c.public, crew); got != c.want {
 			t.Errorf("%s: %v", c.name, got)
 		}
 	}
--- a/coordination/admission/queue.go
+++ b/coordination/admission/queue.go
@@ -28,8 +28,8 @@
 	Slots float64
 	// Refuse, if not empty, is why nothing can be served; After says when to
 	// come back.
-	Refuse string
-	After  time.Duration
+	RefuseReason string
+	RetryAfter   time.Duration
 }
 
 // Reasons of a Refused item that the queue itself gives.
@@ -113,8 +113,8 @@
 	for _, it := range q.items {
 		wait := q.waitAt(len(kept), est)
 		switch {
-		case est.Refuse != "":
-			refused = append(refused, Refused{it, est.Refuse, est.After})
+		case est.RefuseReason != "":
+			refused = append(refused, Refused{it, est.RefuseReason, est.RetryAfter})
 		case now.Add(wait + est.Service).After(it.Deadline):
 			refused = append(refused, Refused{it, ReasonDeadline, wait})
 		default:
--- a/coordination/backpressure/book.go
+++ b/coordination/backpressure/book.go
@@ -36,7 +36,7 @@
 	LastResort bool
 	Reason     Reason
 	// In is the time until the endpoint is open; without meaning for one that is, or that leaves.
-	In time.Duration
+	OpensIn time.Duration
 }
 
 // Closed reports whether the endpoint takes no request at all now.
@@ -62,7 +62,7 @@
 
 // Book is what one daemon knows. It is safe for concurrent use; a question about an endpoint that
 // has said nothing takes no lock.
-type Book struct {
+type Tracker struct {
 	opt     Options
 	daemons atomic.Int64
 	entries atomic.Pointer[map[string]*entry] // by id; replaced when an id is added or dropped
@@ -85,33 +85,33 @@
 	resuming bool
 	triedAt  time.Time
 	noRoom   time.Time // within its limit, until then
-	limit    limit.Word
+	limit    limit.Report
 	said     time.Time // last
 	line     line
 }
 
 // New returns a book in which nothing was said.
-func New(opt Options) *Book {
-	b := &Book{opt: opt, rng: rand.New(rand.NewPCG(opt.Seed, 0))}
+func New(opt Options) *Tracker {
+	b := &Tracker{opt: opt, rng: rand.New(rand.NewPCG(opt.Seed, 0))}
 	b.entries.Store(&map[string]*entry{})
 	b.daemons.Store(1)
 	return b
 }
 
 // Share tells how many daemons share the requests.
-func (b *Book) Share(daemons int) { b.daemons.Store(int64(max(1, daemons))) }
+func (b *Tracker) SetDaemons(daemons int) { b.daemons.Store(int64(max(1, daemons))) }
 
 // Silent reports whether no life of an id has said anything; it is cheaper than a Look.
-func (b *Book) Silent(id string) bool { return (*b.entries.Load())[id] == nil }
+func (b *Tracker) HasNoReport(id string) bool { return (*b.entries.Load())[id] == nil }
 
 // find returns the locked entry of a life, nil if that has said nothing.
-func (b *Book) find(life fleet.Incarnation) *entry {
+func (b *Tracker) find(life fleet.Incarnation) *entry {
 	e := (*b.entries.Load())[life.ID]
 	if e == nil {
 		return nil
 	}
 	e.mu.Lock()
-	if !e.life.Same(life) {
+	if !e.life.Matches(life) {
 		e.mu.Unlock()
 		return nil
 	}
@@ -119,7 +119,7 @@
 }
 
 // take returns the locked entry of a life, a new one if need be; nil if a later life is known.
-func (b *Book) take(now time.Time, life fleet.Incarnation) *entry {
+func (b *Tracker) take(now time.Time, life fleet.Incarnation) *entry {
 	b.mu.Lock()
 	e := (*b.entries.Load())[life.ID]
 	if e == nil {
@@ -134,9 +134,9 @@
 	case life.Before(e.life):
 		e.mu.Unlock()
 		return nil
-	case !e.life.Same(life):
+	case !e.life.Matches(life):
 		e.reset(life)
-	case e.life.Born == 0:
+	case e.life.StartUnixMs == 0:
 		e.life = life
 	}
 	e.said = now
@@ -146,13 +146,13 @@
 // reset begins another life.
 func (e *entry) reset(life fleet.Incarnation) {
 	e.life, e.closesAt, e.pauseUntil, e.spread, e.resuming, e.triedAt = life, time.Time{}, time.Time{}, 0, false, time.Time{}
-	e.noRoom, e.limit, e.line = time.Time{}, limit.Word{}, line{}
+	e.noRoom, e.limit, e.line = time.Time{}, limit.Report{}, line{}
 }
 
 // Leaves takes the word of a life that it leaves, from itself or another daemon. ready is up to
 // when the platform's list is known to have named it as not leaving, zero if it has not. It
 // reports whether that is news.
-func (b *Book) Leaves(now time.Time, life fleet.Incarnation, ready time.Time) bool {
+func (b *Tracker) SetLeaving(now time.Time, life fleet.Incarnation, ready time.Time) bool {
 	e := b.take(now, life)
 	if e == nil {
 		return false
@@ -169,7 +169,7 @@
 }
 
 // Leaving reports whether a life has said that it leaves.
-func (b *Book) Leaving(life fleet.Incarnation) bool {
+func (b *Tracker) IsLeaving(life fleet.Incarnation) bool {
 	e := b.find(life)
 	if e == nil {
 		return false
@@ -180,7 +180,7 @@
 
 // Pause takes the word of a life that this daemon must send nothing for a while; slots is how many
 // requests it works on at once. The longest word counts. It reports whether a pause begins.
-func (b *Book) Pause(now time.Time, life fleet.Incarnation, d time.Duration, slots int) bool {
+func (b *Tracker) ObservePause(now time.Time, life fleet.Incarnation, d time.Duration, slots int) bool {
 	e := b.take(now, life)
 	if e == nil {
 		return false
@@ -198,7 +198,7 @@
 // spread returns by how much later than the endpoint has asked for this daemon resumes. Each daemon
 // sends one request first: within the spread as many daemons resume as the endpoint works on
 // requests in a second, so that they do not all come at once.
-func (b *Book) spread(d time.Duration, slots int) time.Duration {
+func (b *Tracker) spread(d time.Duration, slots int) time.Duration {
 	all := time.Duration(float64(b.daemons.Load()) / float64(max(1, slots)) * float64(time.Second))
 	b.rngMu.Lock()
 	defer b.rngMu.Unlock()
@@ -207,7 +207,7 @@
 
 // Answered takes an answer without a word of a pause, to a request that was sent at some time: an
 // endpoint that takes requests after a pause is open again. It reports whether that is news.
-func (b *Book) Answered(now, sent time.Time, life fleet.Incarnation) bool {
+func (b *Tracker) ObserveAnswer(now, sent time.Time, life fleet.Incarnation) bool {
 	e := b.find(life)
 	if e == nil {
 		return false
@@ -221,7 +221,7 @@
 }
 
 // Limit takes the limit that a life names, or that it names none any more.
-func (b *Book) Limit(now time.Time, life fleet.Incarnation, w limit.Word) {
+func (b *Tracker) SetLimit(now time.Time, life fleet.Incarnation, w limit.Report) {
 	e := b.take(now, life)
 	if e == nil {
 		return
@@ -234,7 +234,7 @@
 }
 
 // Full keeps requests away for a while from an endpoint that has no room within its limit.
-func (b *Book) Full(now time.Time, life fleet.Incarnation, d time.Duration) {
+func (b *Tracker) CloseFor(now time.Time, life fleet.Incarnation, d time.Duration) {
 	e := b.take(now, life)
 	if e == nil {
 		return
@@ -244,7 +244,7 @@
 }
 
 // Look says whether a request might go to an endpoint now.
-func (b *Book) Look(now time.Time, life fleet.Incarnation, a Ask) Decision {
+func (b *Tracker) Peek(now time.Time, life fleet.Incarnation, a Request) Decision {
 	e := b.find(life)
 	if e == nil {
 		return Decision{Open: true}
@@ -255,7 +255,7 @@
 
 // Admit is the last question before a request is sent: an endpoint whose pause has just ended is
 // taken by it for a moment. Decision.LastResort admits it, too.
-func (b *Book) Admit(now time.Time, life fleet.Incarnation, a Ask) Decision {
+func (b *Tracker) Admit(now time.Time, life fleet.Incarnation, a Request) Decision {
 	e := b.find(life)
 	if e == nil {
 		return Decision{Open: true}
@@ -269,7 +269,7 @@
 }
 
 // decideFor is decide for one request: where others wait before it, the endpoint is not open.
-func (e *entry) decideFor(now time.Time, a Ask) Decision {
+func (e *entry) decideFor(now time.Time, a Request) Decision {
 	d := e.decide(now)
 	if d.Closed() || !e.orders() || e.line.ahead(a) == 0 {
 		return d
@@ -278,7 +278,7 @@
 	if e.resuming {
 		reason = Paused
 	}
-	return Decision{Reason: reason, In: trialEvery}
+	return Decision{Reason: reason, OpensIn: trialEvery}
 }
 
 // decide is the one decision on what a life has said.
@@ -293,7 +293,7 @@
 	case !e.closesAt.IsZero() && !now.Before(e.closesAt):
 		return Decision{Reason: Leaving}
 	case now.Before(opens):
-		return Decision{Reason: reason, In: opens.Sub(now)}
+		return Decision{Reason: reason, OpensIn: opens.Sub(now)}
 	case !e.closesAt.IsZero():
 		return Decision{LastResort: true, Reason: Leaving}
 	}
@@ -309,17 +309,17 @@
 }
 
 // LimitOf returns the limit that a life names.
-func (b *Book) LimitOf(life fleet.Incarnation) (limit.Word, bool) {
+func (b *Tracker) LimitOf(life fleet.Incarnation) (limit.Report, bool) {
 	e := b.find(life)
 	if e == nil {
-		return limit.Word{}, false
+		return limit.Report{}, false
 	}
 	defer e.mu.Unlock()
 	return e.limit, e.limit.Limited
 }
 
 // Keep forgets endpoints that are not listed and have said nothing in a long time.
-func (b *Book) Keep(now time.Time, listed func(fleet.Incarnation) bool) {
+func (b *Tracker) Prune(now time.Time, listed func(fleet.Incarnation) bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	next := maps.Clone(*b.entries.Load())
@@ -336,7 +336,7 @@
 }
 
 // Counts returns how many endpoints leave, and how many are in a pause.
-func (b *Book) Counts(now time.Time) (leaving, paused int) {
+func (b *Tracker) Counts(now time.Time) (leaving, paused int) {
 	for _, e := range *b.entries.Load() {
 		e.mu.Lock()
 		if !e.closesAt.IsZero() {
--- a/coordination/backpressure/book_test.go
+++ b/coordination/backpressure/book_test.go
@@ -16,33 +16,33 @@
 
 const leaveWithin = 2 * time.Second
 
-func newBook() *Book { return New(Options{LeaveWithin: leaveWithin}) }
+func newBook() *Tracker { return New(Options{LeaveWithin: leaveWithin}) }
 
 func at(d time.Duration) time.Time { return start.Add(d) }
 
-var one = fleet.Incarnation{ID: "e", Born: 1000}
+var one = fleet.Incarnation{ID: "e", StartUnixMs: 1000}
 
 // Guards against a pause that ends early: by a success of an older request, by a shorter word, by
 // one without a word, or by a limit that has room again.
 func TestPauseEndsAtItsTimeOnly(t *testing.T) {
 	b := newBook()
-	b.Pause(start, one, 3*time.Second, 64)
-	b.Answered(at(time.Second), start.Add(-time.Second), one)
-	b.Pause(at(time.Second), one, 500*time.Millisecond, 64)
-	b.Limit(at(time.Second), one, limit.Word{Rate: 5, Limited: true})
-	b.Full(at(time.Second), one, time.Millisecond)
-	b.Limit(at(2*time.Second), one, limit.Word{})
+	b.ObservePause(start, one, 3*time.Second, 64)
+	b.ObserveAnswer(at(time.Second), start.Add(-time.Second), one)
+	b.ObservePause(at(time.Second), one, 500*time.Millisecond, 64)
+	b.SetLimit(at(time.Second), one, limit.Report{Rate: 5, Limited: true})
+	b.CloseFor(at(time.Second), one, time.Millisecond)
+	b.SetLimit(at(2*time.Second), one, limit.Report{})
 	for _, d := range []time.Duration{0, time.Second, 2 * time.Second, 2999 * time.Millisecond} {
-		if got := b.Look(at(d), one, Ask{}); got.Open || got.Reason != Paused || got.In < 3*time.Second-d {
+		if got := b.Peek(at(d), one, Request{}); got.Open || got.Reason != Paused || got.OpensIn < 3*time.Second-d {
 			t.Errorf("after %v: %+v", d, got)
 		}
 	}
-	if !b.Look(at(4*time.Second), one, Ask{}).Open {
+	if !b.Peek(at(4*time.Second), one, Request{}).Open {
 		t.Error("still closed after the pause and its spread")
 	}
-	b.Pause(at(4*time.Second), one, time.Second, 64)
-	b.Pause(at(4*time.Second), one, 9*time.Second, 64)
-	if got := b.Look(at(12*time.Second), one, Ask{}); got.Open {
+	b.ObservePause(at(4*time.Second), one, time.Second, 64)
+	b.ObservePause(at(4*time.Second), one, 9*time.Second, 64)
+	if got := b.Peek(at(12*time.Second), one, Request{}); got.Open {
 		t.Error("the longest word does not count")
 	}
 }
@@ -51,22 +51,22 @@
 // to one that was sent after the pause shows that it takes requests again.
 func TestAfterAPauseOneRequestTries(t *testing.T) {
 	b := newBook()
-	b.Pause(start, one, time.Second, 64)
+	b.ObservePause(start, one, time.Second, 64)
 	now := at(2 * time.Second)
-	if !b.Admit(now, one, Ask{}).Open || b.Admit(now, one, Ask{}).Open || b.Look(now, one, Ask{}).Open {
+	if !b.Admit(now, one, Request{}).Open || b.Admit(now, one, Request{}).Open || b.Peek(now, one, Request{}).Open {
 		t.Fatal("not just one request at once")
 	}
 	now = now.Add(trialEvery)
-	if !b.Admit(now, one, Ask{}).Open {
+	if !b.Admit(now, one, Request{}).Open {
 		t.Fatal("none follows one that is not answered")
 	}
-	b.Answered(now, start, one)
-	if b.Admit(now, one, Ask{}).Open {
+	b.ObserveAnswer(now, start, one)
+	if b.Admit(now, one, Request{}).Open {
 		t.Fatal("an answer to a request from before the pause counts")
 	}
-	b.Answered(now.Add(time.Millisecond), now, one)
+	b.ObserveAnswer(now.Add(time.Millisecond), now, one)
 	for range 10 {
-		if !b.Admit(now.Add(time.Millisecond), one, Ask{}).Open {
+		if !b.Admit(now.Add(time.Millisecond), one, Request{}).Open {
 			t.Fatal("closed though it takes requests again")
 		}
 	}
@@ -78,9 +78,9 @@
 	perSecond := map[int64]int{}
 	for i := range daemons {
 		b := New(Options{LeaveWithin: leaveWithin, Seed: uint64(i)})
-		b.Share(daemons)
-		b.Pause(start, one, 10*time.Second, slots)
-		in := b.Look(start, one, Ask{}).In
+		b.SetDaemons(daemons)
+		b.ObservePause(start, one, 10*time.Second, slots)
+		in := b.Peek(start, one, Request{}).OpensIn
 		if in < 10*time.Second {
 			t.Fatalf("resumes after %v of 10 s", in)
 		}
@@ -106,11 +106,11 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := newBook()
-			if !b.Leaves(start, one, c.ready) || b.Leaves(at(time.Second), one, at(time.Second)) {
+			if !b.SetLeaving(start, one, c.ready) || b.SetLeaving(at(time.Second), one, at(time.Second)) {
 				t.Fatal("news once, whoever tells it again")
 			}
 			for d := time.Duration(0); d < 5*time.Second; d += 100 * time.Millisecond {
-				got := b.Admit(at(d), one, Ask{})
+				got := b.Admit(at(d), one, Request{})
 				if got.Open || got.LastResort != (d < c.until) || got.Closed() == got.LastResort {
 					t.Fatalf("after %v: %+v", d, got)
 				}
@@ -122,20 +122,20 @@
 // Guards against words of one life that are taken for another's.
 func TestWordsHoldForOneLife(t *testing.T) {
 	b := newBook()
-	next := fleet.Incarnation{ID: "e", Born: 2000}
-	b.Leaves(start, one, start)
-	b.Pause(start, one, time.Minute, 1)
-	if !b.Look(start, next, Ask{}).Open {
+	next := fleet.Incarnation{ID: "e", StartUnixMs: 2000}
+	b.SetLeaving(start, one, start)
+	b.ObservePause(start, one, time.Minute, 1)
+	if !b.Peek(start, next, Request{}).Open {
 		t.Error("the next life is closed")
 	}
-	b.Pause(start, next, time.Second, 1)
-	b.Leaves(start, one, start)
-	if got := b.Look(start, next, Ask{}); got.Reason != Paused || got.In > 2*time.Second {
+	b.ObservePause(start, next, time.Second, 1)
+	b.SetLeaving(start, one, start)
+	if got := b.Peek(start, next, Request{}); got.Reason != Paused || got.OpensIn > 2*time.Second {
 		t.Errorf("a late word of the life before changed it: %+v", got)
 	}
 	unborn := fleet.Incarnation{ID: "u"}
-	b.Leaves(start, unborn, time.Time{})
-	if b.Look(start, fleet.Incarnation{ID: "u", Born: 5}, Ask{}).Open {
+	b.SetLeaving(start, unborn, time.Time{})
+	if b.Peek(start, fleet.Incarnation{ID: "u", StartUnixMs: 5}, Request{}).Open {
 		t.Error("a word is lost where the start of the life is told later")
 	}
 }
@@ -153,25 +153,25 @@
 			switch rapid.IntRange(0, 6).Draw(t, "event") {
 			case 0:
 				d := time.Duration(rapid.IntRange(1, 4000).Draw(t, "pause")) * time.Millisecond
-				b.Pause(now, one, d, 1+rapid.IntRange(0, 64).Draw(t, "slots"))
+				b.ObservePause(now, one, d, 1+rapid.IntRange(0, 64).Draw(t, "slots"))
 				asked = later(asked, now.Add(d))
 			case 1:
 				if rapid.IntRange(0, 5).Draw(t, "leaves") == 0 {
-					b.Leaves(now, one, now)
+					b.SetLeaving(now, one, now)
 					if !left {
 						left, leftAt = true, now
 					}
 				}
 			case 2:
-				b.Answered(now, now.Add(-time.Duration(rapid.IntRange(0, 3000).Draw(t, "ago"))*time.Millisecond), one)
+				b.ObserveAnswer(now, now.Add(-time.Duration(rapid.IntRange(0, 3000).Draw(t, "ago"))*time.Millisecond), one)
 			case 3:
-				b.Limit(now, one, limit.Word{Rate: 1, Limited: rapid.Bool().Draw(t, "limited")})
+				b.SetLimit(now, one, limit.Report{Rate: 1, Limited: rapid.Bool().Draw(t, "limited")})
 			case 4:
-				b.Full(now, one, time.Duration(rapid.IntRange(0, 500).Draw(t, "full"))*time.Millisecond)
+				b.CloseFor(now, one, time.Duration(rapid.IntRange(0, 500).Draw(t, "full"))*time.Millisecond)
 			case 5:
-				b.Keep(now, func(fleet.Incarnation) bool { return rapid.Bool().Draw(t, "listed") })
+				b.Prune(now, func(fleet.Incarnation) bool { return rapid.Bool().Draw(t, "listed") })
 			default:
-				d := b.Admit(now, one, Ask{})
+				d := b.Admit(now, one, Request{})
 				switch {
 				case left && d.Open:
 					t.Fatalf("open after it has said that it leaves: %+v", d)
@@ -197,15 +197,15 @@
 				now := at(time.Duration(n) * time.Second)
 				switch (n + i) % 5 {
 				case 0:
-					b.Pause(now, life, time.Second, 8)
+					b.ObservePause(now, life, time.Second, 8)
 				case 1:
-					b.Keep(now.Add(time.Hour), func(fleet.Incarnation) bool { return false })
+					b.Prune(now.Add(time.Hour), func(fleet.Incarnation) bool { return false })
 				case 2:
-					b.Quit(b.Join(now, life, leavingIn(time.Minute)))
+					b.Dequeue(b.Enqueue(now, life, leavingIn(time.Minute)))
 				case 3:
-					b.Admit(now, life, Ask{})
+					b.Admit(now, life, Request{})
 				case 4:
-					b.Leaves(now, life, now)
+					b.SetLeaving(now, life, now)
 				}
 			}
 		})
@@ -216,6 +216,6 @@
 func BenchmarkLookWhereNothingWasSaid(b *testing.B) {
 	book := newBook()
 	for b.Loop() {
-		book.Look(start, one, Ask{})
+		book.Peek(start, one, Request{})
 	}
 }
--- a/coordination/backpressure/line.go
+++ b/coordination/backpressure/line.go
@@ -9,34 +9,34 @@
 
 // Ask is a request that would go to an endpoint. The more urgent comes first, then the one whose
 // caller leaves first: a caller that comes back goes before those that came after it.
-type Ask struct {
+type Request struct {
 	Rank     int // 0 is first
 	Deadline time.Time
-	Place    *Place // in the line, if it waits; nil otherwise
+	Waiter   *Waiter // in the line, if it waits; nil otherwise
 }
 
-func (a Ask) before(b Ask) bool {
+func (a Request) before(b Request) bool {
 	return a.Rank < b.Rank || a.Rank == b.Rank && a.Deadline.Before(b.Deadline)
 }
 
 // Place is the place of a request that waits at this daemon for one endpoint.
-type Place struct {
-	ask  Ask
+type Waiter struct {
+	ask  Request
 	life fleet.Incarnation
 }
 
 // Life returns the endpoint that is waited for.
-func (p *Place) Life() fleet.Incarnation { return p.life }
+func (p *Waiter) Incarnation() fleet.Incarnation { return p.life }
 
 // promise is a caller that was told when to come back.
 type promise struct {
-	ask  Ask
+	ask  Request
 	back time.Time
 }
 
 // line is who waits at this daemon for one endpoint, and who was sent away.
 type line struct {
-	waiting  []*Place  // first come first, in the order of their asks
+	waiting  []*Waiter // first come first, in the order of their asks
 	promised []promise // by the time to come back
 }
 
@@ -49,11 +49,11 @@
 )
 
 // ahead returns how many of those that wait come before a request.
-func (l *line) ahead(a Ask) int {
-	if i := slices.Index(l.waiting, a.Place); i >= 0 {
+func (l *line) ahead(a Request) int {
+	if i := slices.Index(l.waiting, a.Waiter); i >= 0 {
 		return i
 	}
-	if i := slices.IndexFunc(l.waiting, func(p *Place) bool { return a.before(p.ask) }); i >= 0 {
+	if i := slices.IndexFunc(l.waiting, func(p *Waiter) bool { return a.before(p.ask) }); i >= 0 {
 		return i
 	}
 	return len(l.waiting)
@@ -61,7 +61,7 @@
 
 // turn returns when a request is taken by an endpoint that opens at some time, after all that come
 // before it, at a rate in requests a second.
-func (l *line) turn(now, opens time.Time, a Ask, rate float64) time.Time {
+func (l *line) turn(now, opens time.Time, a Request, rate float64) time.Time {
 	each := slowestTurn
 	if rate > 0 {
 		each = min(each, time.Duration(float64(time.Second)/rate))
@@ -78,24 +78,24 @@
 	return at
 }
 
-func (l *line) join(life fleet.Incarnation, a Ask) *Place {
-	p := &Place{ask: Ask{Rank: a.Rank, Deadline: a.Deadline}, life: life}
+func (l *line) join(life fleet.Incarnation, a Request) *Waiter {
+	p := &Waiter{ask: Request{Rank: a.Rank, Deadline: a.Deadline}, life: life}
 	l.waiting = slices.Insert(l.waiting, l.ahead(a), p)
 	return p
 }
 
-func (l *line) quit(p *Place) {
-	l.waiting = slices.DeleteFunc(l.waiting, func(other *Place) bool { return other == p })
+func (l *line) quit(p *Waiter) {
+	l.waiting = slices.DeleteFunc(l.waiting, func(other *Waiter) bool { return other == p })
 }
 
 // promise remembers a caller that was told when to come back, if it may.
-func (l *line) promise(now time.Time, a Ask, back time.Time) {
+func (l *line) promise(now time.Time, a Request, back time.Time) {
 	l.promised = slices.DeleteFunc(l.promised, func(p promise) bool { return !p.back.After(now) })
 	if !back.Before(a.Deadline) || len(l.promised) >= promisesMost {
 		return
 	}
 	i, _ := slices.BinarySearchFunc(l.promised, back, func(p promise, at time.Time) int { return p.back.Compare(at) })
-	l.promised = slices.Insert(l.promised, i, promise{Ask{Rank: a.Rank, Deadline: a.Deadline}, back})
+	l.promised = slices.Insert(l.promised, i, promise{Request{Rank: a.Rank, Deadline: a.Deadline}, back})
 }
 
 // orders reports whether requests go to an endpoint in the order of its line: not while it takes
@@ -104,7 +104,7 @@
 
 // Turn returns the time until a request is taken by an endpoint, at this daemon's part of the rate
 // that the endpoint takes, in requests a second.
-func (b *Book) Turn(now time.Time, life fleet.Incarnation, a Ask, rate float64) time.Duration {
+func (b *Tracker) EstimateWait(now time.Time, life fleet.Incarnation, a Request, rate float64) time.Duration {
 	e := b.find(life)
 	if e == nil {
 		return 0
@@ -112,23 +112,23 @@
 	defer e.mu.Unlock()
 	d := e.decide(now)
 	if !e.orders() {
-		return d.In
+		return d.OpensIn
 	}
-	return e.line.turn(now, now.Add(d.In), a, rate).Sub(now)
+	return e.line.turn(now, now.Add(d.OpensIn), a, rate).Sub(now)
 }
 
 // Join lets a request wait for an endpoint. It must quit.
-func (b *Book) Join(now time.Time, life fleet.Incarnation, a Ask) *Place {
+func (b *Tracker) Enqueue(now time.Time, life fleet.Incarnation, a Request) *Waiter {
 	e := b.take(now, life)
 	if e == nil {
-		return &Place{life: life}
+		return &Waiter{life: life}
 	}
 	defer e.mu.Unlock()
 	return e.line.join(life, a)
 }
 
 // Quit ends the wait of a request.
-func (b *Book) Quit(p *Place) {
+func (b *Tracker) Dequeue(p *Waiter) {
 	e := b.find(p.life)
 	if e == nil {
 		return
@@ -138,7 +138,7 @@
 }
 
 // Promise notes that a caller was told to come back after a time.
-func (b *Book) Promise(now time.Time, life fleet.Incarnation, a Ask, in time.Duration) {
+func (b *Tracker) ReserveRetry(now time.Time, life fleet.Incarnation, a Request, in time.Duration) {
 	e := b.find(life)
 	if e == nil {
 		return
--- a/coordination/backpressure/line_test.go
+++ b/coordination/backpressure/line_test.go
@@ -7,41 +7,41 @@
 	"github.com/doorvalve/doorvalve/coordination/limit"
 )
 
-func leavingIn(d time.Duration) Ask { return Ask{Rank: 1, Deadline: at(d)} }
+func leavingIn(d time.Duration) Request { return Request{Rank: 1, Deadline: at(d)} }
 
 // Guards against a request that overtakes others which wait: the more urgent comes first, then the
 // one whose caller leaves first, and a new one after all of its rank.
 func TestLineOrdersThoseThatWait(t *testing.T) {
 	b := newBook()
-	b.Limit(start, one, limit.Word{Rate: 2, Limited: true})
-	late := b.Join(start, one, leavingIn(9*time.Second))
-	early := b.Join(start, one, leavingIn(5*time.Second))
+	b.SetLimit(start, one, limit.Report{Rate: 2, Limited: true})
+	late := b.Enqueue(start, one, leavingIn(9*time.Second))
+	early := b.Enqueue(start, one, leavingIn(5*time.Second))
 	for _, c := range []struct {
 		name  string
-		ask   Ask
+		ask   Request
 		ahead int
 	}{
-		{"the first", Ask{Rank: 1, Deadline: at(5 * time.Second), Place: early}, 0},
-		{"the second", Ask{Rank: 1, Deadline: at(9 * time.Second), Place: late}, 1},
+		{"the first", Request{Rank: 1, Deadline: at(5 * time.Second), Waiter: early}, 0},
+		{"the second", Request{Rank: 1, Deadline: at(9 * time.Second), Waiter: late}, 1},
 		{"a new one", leavingIn(15 * time.Second), 2},
 		{"one that comes back", leavingIn(6 * time.Second), 1},
-		{"a more urgent one", Ask{Rank: 0, Deadline: at(15 * time.Second)}, 0},
-		{"a less urgent one", Ask{Rank: 2, Deadline: at(time.Second)}, 2},
+		{"a more urgent one", Request{Rank: 0, Deadline: at(15 * time.Second)}, 0},
+		{"a less urgent one", Request{Rank: 2, Deadline: at(time.Second)}, 2},
 	} {
-		turn := b.Turn(start, one, c.ask, 0.5)
+		turn := b.EstimateWait(start, one, c.ask, 0.5)
 		if want := time.Duration(c.ahead) * 2 * time.Second; turn != want {
 			t.Errorf("%s: its turn is in %v, want %v", c.name, turn, want)
 		}
-		if d := b.Look(start, one, c.ask); d.Open != (c.ahead == 0) {
+		if d := b.Peek(start, one, c.ask); d.Open != (c.ahead == 0) {
 			t.Errorf("%s: %+v", c.name, d)
 		}
 	}
-	b.Quit(early)
-	if d := b.Admit(start, one, Ask{Rank: 1, Deadline: at(9 * time.Second), Place: late}); !d.Open {
+	b.Dequeue(early)
+	if d := b.Admit(start, one, Request{Rank: 1, Deadline: at(9 * time.Second), Waiter: late}); !d.Open {
 		t.Errorf("the next is not admitted: %+v", d)
 	}
-	b.Quit(late)
-	if d := b.Look(start, one, leavingIn(time.Minute)); !d.Open {
+	b.Dequeue(late)
+	if d := b.Peek(start, one, leavingIn(time.Minute)); !d.Open {
 		t.Errorf("nobody waits: %+v", d)
 	}
 }
@@ -50,27 +50,27 @@
 // that gets the turn of one that was told to come back before.
 func TestCallersSentAwayHaveTurnsOfTheirOwn(t *testing.T) {
 	b := newBook()
-	b.Limit(start, one, limit.Word{Rate: 1, Limited: true})
-	b.Full(start, one, time.Second)
+	b.SetLimit(start, one, limit.Report{Rate: 1, Limited: true})
+	b.CloseFor(start, one, time.Second)
 	last := time.Duration(0)
 	for i := range 5 {
 		ask := leavingIn(15*time.Second + time.Duration(i))
-		turn := b.Turn(start, one, ask, 1)
+		turn := b.EstimateWait(start, one, ask, 1)
 		if i > 0 && turn != last+time.Second {
 			t.Fatalf("caller %d is told %v, the one before %v", i, turn, last)
 		}
-		b.Promise(start, one, ask, turn)
+		b.ReserveRetry(start, one, ask, turn)
 		last = turn
 	}
 	back := leavingIn(15 * time.Second) // the first of them
-	if turn := b.Turn(at(time.Second), one, back, 1); turn != 0 {
+	if turn := b.EstimateWait(at(time.Second), one, back, 1); turn != 0 {
 		t.Errorf("the first is back in time and waits %v", turn)
 	}
-	if turn := b.Turn(at(time.Second), one, leavingIn(16*time.Second), 1); turn < 4*time.Second {
+	if turn := b.EstimateWait(at(time.Second), one, leavingIn(16*time.Second), 1); turn < 4*time.Second {
 		t.Errorf("a new caller has its turn in %v, before those that were sent away", turn)
 	}
-	b.Promise(start, one, leavingIn(3*time.Second), 10*time.Second)
-	if turn := b.Turn(at(5*time.Second), one, leavingIn(30*time.Second), 1); turn != 0 {
+	b.ReserveRetry(start, one, leavingIn(3*time.Second), 10*time.Second)
+	if turn := b.EstimateWait(at(5*time.Second), one, leavingIn(30*time.Second), 1); turn != 0 {
 		t.Errorf("%v for callers that are back by now or have left", turn)
 	}
 }
@@ -78,14 +78,14 @@
 // An endpoint that takes all that come has no line.
 func TestOpenEndpointHasNoLine(t *testing.T) {
 	b := newBook()
-	b.Pause(start, one, time.Second, 64)
-	b.Join(start, one, leavingIn(2*time.Second))
+	b.ObservePause(start, one, time.Second, 64)
+	b.Enqueue(start, one, leavingIn(2*time.Second))
 	now := at(3 * time.Second)
-	b.Answered(now, now.Add(-time.Millisecond), one)
-	if d := b.Look(now, one, leavingIn(15*time.Second)); !d.Open {
+	b.ObserveAnswer(now, now.Add(-time.Millisecond), one)
+	if d := b.Peek(now, one, leavingIn(15*time.Second)); !d.Open {
 		t.Errorf("%+v", d)
 	}
-	if turn := b.Turn(now, one, leavingIn(15*time.Second), 1); turn != 0 {
+	if turn := b.EstimateWait(now, one, leavingIn(15*time.Second), 1); turn != 0 {
 		t.Errorf("its turn is in %v", turn)
 	}
 }
--- a/coordination/balance/balance.go
+++ b/coordination/balance/balance.go
@@ -55,7 +55,7 @@
 // Balancer is safe for concurrent use.
 type Balancer struct {
 	domain string
-	said   *backpressure.Book
+	said   *backpressure.Tracker
 
 	mu       sync.Mutex
 	rng      *rand.Rand
@@ -66,7 +66,7 @@
 
 // New returns a balancer for a daemon in a failure domain, that keeps to what endpoints have
 // said. seed is for its choices between equals.
-func New(domain string, seed uint64, said *backpressure.Book) *Balancer {
+func New(domain string, seed uint64, said *backpressure.Tracker) *Balancer {
 	return &Balancer{domain: domain, said: said, rng: rand.New(rand.NewPCG(seed, 0)), loads: map[fleet.Incarnation]*load{}, services: map[string]*service{}, daemons: 1}
 }
 
@@ -93,7 +93,7 @@
 	Unit     string // MODEL or MODEL/ADAPTER; empty for plain services
 	Affinity string // shared part of the prompt; empty for none
 	Exclude  []fleet.Incarnation
-	Ask      backpressure.Ask // the request's, in the lines of those that wait
+	Request  backpressure.Request // the request's, in the lines of those that wait
 }
 
 // Pick returns the endpoint for a request, or nil. Endpoints that have just failed
@@ -116,9 +116,9 @@
 func (b *Balancer) usable(now time.Time, candidates []*fleet.Endpoint, q Query) []*fleet.Endpoint {
 	var sound, avoided []*fleet.Endpoint
 	for _, e := range candidates {
-		l := b.load(e.Life())
+		l := b.load(e.Incarnation())
 		switch {
-		case e.Leaving, now.Before(l.goneUntil), !b.said.Look(now, e.Life(), q.Ask).Open, slices.ContainsFunc(q.Exclude, e.Life().Same):
+		case e.Leaving, now.Before(l.goneUntil), !b.said.Peek(now, e.Incarnation(), q.Request).Open, slices.ContainsFunc(q.Exclude, e.Incarnation().Matches):
 		case q.Unit != "" && now.Before(l.absent[q.Unit]):
 		case now.Before(l.avoidUntil):
 			avoided = append(avoided, e)
@@ -148,10 +148,10 @@
 	bestCost := 0.0
 	for _, e := range usable {
 		part := float64(b.slots(e)) / float64(b.daemons)
-		cost := float64(b.load(e.Life()).running) + b.rng.Float64() // spreads daemons that know the same
+		cost := float64(b.load(e.Incarnation()).running) + b.rng.Float64() // spreads daemons that know the same
 		cost += min(ownAffinityMost, affinity*part) * affinityRank(e, q)
 		switch {
-		case e.Domain == b.domain:
+		case e.FailureDomain == b.domain:
 		case q.Unit == "":
 			cost += ownOtherDomain
 		default:
@@ -168,7 +168,7 @@
 func (b *Balancer) Started(e *fleet.Endpoint) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.load(e.Life()).running++
+	b.load(e.Incarnation()).running++
 }
 
 // Ended counts a request that has ended after some time. ok says that the endpoint
@@ -176,7 +176,7 @@
 func (b *Balancer) Ended(now time.Time, e *fleet.Endpoint, unit string, took time.Duration, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	l := b.load(e.Life())
+	l := b.load(e.Incarnation())
 	l.running--
 	if !ok {
 		return
@@ -203,7 +203,7 @@
 // Gone keeps all requests away from an endpoint at which nothing listens, as it refused a
 // connection or as other daemons say. Requests that would be sent there in vain are told
 // at once what else there is.
-func (b *Balancer) Gone(now time.Time, id fleet.Incarnation) {
+func (b *Balancer) MarkUnreachable(now time.Time, id fleet.Incarnation) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	l := b.load(id)
@@ -215,7 +215,7 @@
 }
 
 // IsGone reports whether nothing listens at an endpoint.
-func (b *Balancer) IsGone(now time.Time, id fleet.Incarnation) bool {
+func (b *Balancer) Unreachable(now time.Time, id fleet.Incarnation) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return now.Before(b.load(id).goneUntil)
@@ -226,7 +226,7 @@
 func (b *Balancer) Avoided(now time.Time, id fleet.Incarnation) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return now.Before(b.load(id).avoidUntil) || !b.said.Look(now, id, backpressure.Ask{}).Open
+	return now.Before(b.load(id).avoidUntil) || !b.said.Peek(now, id, backpressure.Request{}).Open
 }
 
 // PickLeaving returns an endpoint that leaves and may still serve what no other can, or nil.
@@ -235,10 +235,10 @@
 	defer b.mu.Unlock()
 	var may []*fleet.Endpoint
 	for _, e := range candidates {
-		if l := b.load(e.Life()); now.Before(l.goneUntil) || slices.ContainsFunc(q.Exclude, e.Life().Same) {
+		if l := b.load(e.Incarnation()); now.Before(l.goneUntil) || slices.ContainsFunc(q.Exclude, e.Incarnation().Matches) {
 			continue
 		}
-		if b.said.Look(now, e.Life(), q.Ask).LastResort {
+		if b.said.Peek(now, e.Incarnation(), q.Request).LastResort {
 			may = append(may, e)
 		}
 	}
@@ -247,9 +247,9 @@
 
 // Shut returns the endpoints among some that stay and want no request like this one now, by their
 // own word.
-func (b *Balancer) Shut(now time.Time, candidates []*fleet.Endpoint, a backpressure.Ask) (shut []*fleet.Endpoint) {
+func (b *Balancer) Unavailable(now time.Time, candidates []*fleet.Endpoint, a backpressure.Request) (shut []*fleet.Endpoint) {
 	for _, e := range candidates {
-		if d := b.said.Look(now, e.Life(), a); !e.Leaving && d.Closed() && d.Reason != backpressure.Leaving {
+		if d := b.said.Peek(now, e.Incarnation(), a); !e.Leaving && d.Closed() && d.Reason != backpressure.Leaving {
 			shut = append(shut, e)
 		}
 	}
@@ -267,7 +267,7 @@
 // limit.
 func (b *Balancer) slots(e *fleet.Endpoint) int {
 	declared := max(1, e.Slots)
-	w, limited := b.said.LimitOf(e.Life())
+	w, limited := b.said.LimitOf(e.Incarnation())
 	if !limited {
 		return declared
 	}
@@ -275,7 +275,7 @@
 }
 
 // Absent records an endpoint's word that it does not hold a unit.
-func (b *Balancer) Absent(now time.Time, id fleet.Incarnation, unit string) {
+func (b *Balancer) MarkAbsent(now time.Time, id fleet.Incarnation, unit string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	l := b.load(id)
@@ -284,7 +284,7 @@
 }
 
 // Present withdraws Absent, on the coordinator's word.
-func (b *Balancer) Present(id fleet.Incarnation, unit string) {
+func (b *Balancer) ClearAbsent(id fleet.Incarnation, unit string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	delete(b.load(id).absent, unit)
@@ -292,7 +292,7 @@
 
 // Vouched reports whether this daemon has lately been served a unit by the
 // endpoint, so that the coordinator need not be asked.
-func (b *Balancer) Vouched(now time.Time, id fleet.Incarnation, unit string) bool {
+func (b *Balancer) RecentlyServed(now time.Time, id fleet.Incarnation, unit string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	at, ok := b.load(id).used[unit]
@@ -300,18 +300,18 @@
 }
 
 // Keep forgets endpoints that are not in the view any more.
-func (b *Balancer) Keep(view *fleet.View) {
+func (b *Balancer) Retain(view *fleet.View) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for id, l := range b.loads {
-		if view.Of(id) == nil && l.running == 0 {
+		if view.Find(id) == nil && l.running == 0 {
 			delete(b.loads, id)
 		}
 	}
 }
 
 // Share tells how many daemons share the requests.
-func (b *Balancer) Share(daemons int) {
+func (b *Balancer) SetDaemons(daemons int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.daemons = max(1, daemons)
--- a/coordination/balance/balance_test.go
+++ b/coordination/balance/balance_test.go
@@ -19,7 +19,7 @@
 func endpoints(ids ...string) []*fleet.Endpoint {
 	var list []*fleet.Endpoint
 	for _, id := range ids {
-		list = append(list, &fleet.Endpoint{ID: id, Domain: "d-" + id, Slots: 64})
+		list = append(list, &fleet.Endpoint{ID: id, FailureDomain: "d-" + id, Slots: 64})
 	}
 	return list
 }
@@ -70,11 +70,11 @@
 	b := newBalancer("x", 1)
 	list := endpoints("a", "b")
 	list[1].Leaving = true
-	b.Absent(start, life("a"), "m")
+	b.MarkAbsent(start, life("a"), "m")
 	if e := b.Pick(start, list, Query{Unit: "m"}); e != nil {
 		t.Fatalf("picked %s", e.ID)
 	}
-	b.Present(life("a"), "m")
+	b.ClearAbsent(life("a"), "m")
 	if e := b.Pick(start, list, Query{Unit: "m"}); e == nil || e.ID != "a" {
 		t.Fatal("the coordinator's word must count")
 	}
@@ -85,7 +85,7 @@
 
 func TestAffinityKeepsAPromptTogetherUntilLoadSays(t *testing.T) {
 	b := newBalancer("x", 1)
-	b.Share(6)
+	b.SetDaemons(6)
 	list := endpoints("a", "b", "c", "d")
 	count := map[string]int{}
 	for range 100 {
@@ -103,19 +103,19 @@
 // What was learned of an endpoint ends with its life.
 func TestNextLifeIsNotAvoided(t *testing.T) {
 	b := newBalancer("d-a", 1)
-	before := fleet.Incarnation{ID: "a", Born: 1000}
+	before := fleet.Incarnation{ID: "a", StartUnixMs: 1000}
 	b.Failed(start, before)
-	b.Absent(start, before, "m")
+	b.MarkAbsent(start, before, "m")
 	old := endpoints("a")[0]
-	old.Born = before.Born
+	old.StartUnixMs = before.StartUnixMs
 	b.Started(old)
 	list := endpoints("a")
-	list[0].Born = 2000
-	if e := b.Pick(start, list, Query{Unit: "m"}); e == nil || b.Avoided(start, e.Life()) {
+	list[0].StartUnixMs = 2000
+	if e := b.Pick(start, list, Query{Unit: "m"}); e == nil || b.Avoided(start, e.Incarnation()) {
 		t.Fatal("the next life pays for the one before")
 	}
 	b.Ended(start, old, "m", time.Second, true)
-	if b.Vouched(start, list[0].Life(), "m") {
+	if b.RecentlyServed(start, list[0].Incarnation(), "m") {
 		t.Fatal("a success of the life before vouches for the next one")
 	}
 }
@@ -128,22 +128,22 @@
 	for _, e := range list {
 		e.Service, e.Slots = "llm", 12
 	}
-	if b.Crowded(start, list, Query{}) {
+	if b.NearCapacity(start, list, Query{}) {
 		t.Fatal("crowded though nothing was told")
 	}
-	b.Told("llm", start, Running{life("a"): 12, life("b"): 8}, Running{})
-	if b.Crowded(start, list, Query{}) {
+	b.ReceiveRunning("llm", start, Running{life("a"): 12, life("b"): 8}, Running{})
+	if b.NearCapacity(start, list, Query{}) {
 		t.Fatal("one of them has slots free")
 	}
 	b.Started(list[1])
-	if !b.Crowded(start, list, Query{}) {
+	if !b.NearCapacity(start, list, Query{}) {
 		t.Fatal("both are crowded with the request that was sent since")
 	}
-	if b.Crowded(start.Add(toldLife), list, Query{}) {
+	if b.NearCapacity(start.Add(toldLife), list, Query{}) {
 		t.Fatal("crowded by a word that is too old")
 	}
 	b.Failed(start, life("b"))
-	if !b.Crowded(start, list, Query{}) {
+	if !b.NearCapacity(start, list, Query{}) {
 		t.Fatal("the one that has failed is left out")
 	}
 }
@@ -154,16 +154,16 @@
 	b := newBalancer("x", 1)
 	list := endpoints("a")
 	for range 5 { // of one end, as many requests notice
-		b.Gone(start, life("a"))
+		b.MarkUnreachable(start, life("a"))
 	}
-	if e := b.Pick(start.Add(goneFirst-time.Millisecond), list, Query{}); e != nil || !b.IsGone(start, life("a")) {
+	if e := b.Pick(start.Add(goneFirst-time.Millisecond), list, Query{}); e != nil || !b.Unreachable(start, life("a")) {
 		t.Fatalf("picked %v", e)
 	}
 	if e := b.Pick(start.Add(goneFirst), list, Query{}); e == nil {
 		t.Fatal("it is never asked again")
 	}
 	again := start.Add(goneFirst)
-	b.Gone(again, life("a"))
+	b.MarkUnreachable(again, life("a"))
 	if e := b.Pick(again.Add(2*goneFirst-time.Millisecond), list, Query{}); e != nil {
 		t.Fatal("the second refusal counts as little as the first")
 	}
--- a/coordination/balance/fleet_test.go
+++ b/coordination/balance/fleet_test.go
@@ -41,11 +41,11 @@
 	s := &site{now: start, running: Running{}, arrivals: Running{}, runTime: 2 * time.Second, prompts: 4}
 	for i := range daemons {
 		b := newBalancer(fmt.Sprint("d", i%5), uint64(i))
-		b.Share(daemons)
+		b.SetDaemons(daemons)
 		s.daemons, s.said = append(s.daemons, b), append(s.said, Running{})
 	}
 	for i := range engines {
-		s.engines = append(s.engines, &fleet.Endpoint{ID: fmt.Sprint("e", i), Service: "llm", Domain: fmt.Sprint("d", i%5), Slots: slots})
+		s.engines = append(s.engines, &fleet.Endpoint{ID: fmt.Sprint("e", i), Service: "llm", FailureDomain: fmt.Sprint("d", i%5), Slots: slots})
 	}
 	for m := range models {
 		var list []*fleet.Endpoint
@@ -77,7 +77,7 @@
 			kept = append(kept, r)
 			continue
 		}
-		s.running[r.endpoint.Life()]--
+		s.running[r.endpoint.Incarnation()]--
 		s.daemons[r.daemon].Ended(s.now, r.endpoint, "m", r.end.Sub(r.began), true)
 	}
 	s.ends = kept
@@ -97,13 +97,13 @@
 		}
 	}
 	for _, e := range s.engines {
-		all[e.Life()] += 0
+		all[e.Incarnation()] += 0
 	}
 	for i, b := range s.daemons {
 		if i%turns != now {
 			continue
 		}
-		own := b.Own()
+		own := b.OwnRunning()
 		for id, n := range own {
 			all[id] += n - s.said[i][id]
 		}
@@ -113,7 +113,7 @@
 			}
 		}
 		s.said[i] = own
-		b.Told("llm", s.now.Add(-s.tell/2), all, own)
+		b.ReceiveRunning("llm", s.now.Add(-s.tell/2), all, own)
 	}
 }
 
@@ -123,12 +123,12 @@
 	daemon := rng.IntN(len(s.daemons))
 	q := Query{Unit: "m", Affinity: fmt.Sprint(m, "/", rng.IntN(s.prompts))}
 	e := s.daemons[daemon].Pick(s.now, s.holders[m], q)
-	id := e.Life()
+	id := e.Incarnation()
 	s.started++
 	s.arrivals[id]++
 	if s.running[id] >= e.Slots {
 		for _, other := range s.holders[m] {
-			if s.running[other.Life()] < other.Slots {
+			if s.running[other.Incarnation()] < other.Slots {
 				s.crowded++
 				break
 			}
@@ -150,7 +150,7 @@
 	for _, list := range s.holders {
 		least, most := math.Inf(1), 0.0
 		for _, e := range list {
-			n := float64(s.arrivals[e.Life()])
+			n := float64(s.arrivals[e.Incarnation()])
 			least, most = min(least, n), max(most, n)
 		}
 		worst = max(worst, most/max(1, least))
@@ -194,7 +194,7 @@
 func runningSite(engines int) (*site, Running) {
 	s, all := newSite(1, engines, 12, 1, 6), Running{}
 	for i, e := range s.engines {
-		all[e.Life()] = i % 12
+		all[e.Incarnation()] = i % 12
 	}
 	return s, all
 }
@@ -204,7 +204,7 @@
 	for _, engines := range []int{9, 124, 600} {
 		b.Run(fmt.Sprint(engines, " engines"), func(b *testing.B) {
 			s, all := runningSite(engines)
-			s.daemons[0].Told("llm", start, all, Running{})
+			s.daemons[0].ReceiveRunning("llm", start, all, Running{})
 			q := Query{Unit: "m", Affinity: "part"}
 			b.ReportAllocs()
 			for b.Loop() {
@@ -221,7 +221,7 @@
 			s, all := runningSite(engines)
 			b.ReportAllocs()
 			for b.Loop() {
-				s.daemons[0].Told("llm", start, all, s.daemons[0].Own())
+				s.daemons[0].ReceiveRunning("llm", start, all, s.daemons[0].OwnRunning())
 			}
 		})
 	}
--- a/coordination/balance/limits_test.go
+++ b/coordination/balance/limits_test.go
@@ -13,8 +13,8 @@
 func TestEndpointWithoutRoomIsPassedOver(t *testing.T) {
 	b := newBalancer("x", 1)
 	list := endpoints("a", "b")
-	b.said.Limit(start, life("a"), limit.Word{Rate: 1, Limited: true})
-	b.said.Full(start, life("a"), time.Second)
+	b.said.SetLimit(start, life("a"), limit.Report{Rate: 1, Limited: true})
+	b.said.CloseFor(start, life("a"), time.Second)
 	for range 50 {
 		if e := b.Pick(start, list, Query{}); e.ID != "b" {
 			t.Fatal("picked one without room")
@@ -23,8 +23,8 @@
 	if e := b.Pick(start, list[:1], Query{}); e != nil {
 		t.Fatal("picked the only one, which has no room")
 	}
-	shut := b.Shut(start.Add(400*time.Millisecond), list, backpressure.Ask{})
-	if in := b.said.Turn(start.Add(400*time.Millisecond), life("a"), backpressure.Ask{}, 1); len(shut) != 1 || shut[0] != list[0] || in != 600*time.Millisecond {
+	shut := b.Unavailable(start.Add(400*time.Millisecond), list, backpressure.Request{})
+	if in := b.said.EstimateWait(start.Add(400*time.Millisecond), life("a"), backpressure.Request{}, 1); len(shut) != 1 || shut[0] != list[0] || in != 600*time.Millisecond {
 		t.Fatalf("%v without room, for %v", shut, in)
 	}
 	if !b.Avoided(start, life("a")) {
@@ -33,8 +33,8 @@
 	if e := b.Pick(start.Add(time.Second), list[:1], Query{}); e == nil {
 		t.Error("passed over though it has room again")
 	}
-	b.said.Full(start, life("a"), time.Minute)
-	b.said.Limit(start, life("a"), limit.Word{})
+	b.said.CloseFor(start, life("a"), time.Minute)
+	b.said.SetLimit(start, life("a"), limit.Report{})
 	if e := b.Pick(start.Add(time.Second), list[:1], Query{}); e == nil {
 		t.Error("passed over after its limit has ended")
 	}
@@ -45,8 +45,8 @@
 func TestLimitedEndpointGetsItsPart(t *testing.T) {
 	b := newBalancer("x", 1)
 	list := endpoints("a", "b")
-	b.Told("", start, Running{}, Running{})
-	b.said.Limit(start, life("a"), limit.Word{Rate: 2, Limited: true})
+	b.ReceiveRunning("", start, Running{}, Running{})
+	b.said.SetLimit(start, life("a"), limit.Report{Rate: 2, Limited: true})
 	got := 0
 	const requests = 1000
 	for range requests {
@@ -64,16 +64,16 @@
 func TestEndpointThatPausesOrLeavesIsNotPicked(t *testing.T) {
 	b := newBalancer("x", 1)
 	list := endpoints("a", "b")
-	b.said.Pause(start, life("a"), 3*time.Second, 64)
+	b.said.ObservePause(start, life("a"), 3*time.Second, 64)
 	b.Started(list[0])
 	b.Ended(start.Add(time.Second), list[0], "", time.Second, true)
 	if e := b.Pick(start.Add(2*time.Second), list[:1], Query{}); e != nil {
 		t.Error("picked within the pause")
 	}
-	if shut := b.Shut(start.Add(2*time.Second), list[:1], backpressure.Ask{}); len(shut) != 1 {
+	if shut := b.Unavailable(start.Add(2*time.Second), list[:1], backpressure.Request{}); len(shut) != 1 {
 		t.Errorf("%v shut", shut)
 	}
-	b.said.Leaves(start, life("b"), start)
+	b.said.SetLeaving(start, life("b"), start)
 	if e := b.Pick(start, list[1:], Query{}); e != nil {
 		t.Error("picked one that leaves")
 	}
@@ -83,7 +83,7 @@
 	if e := b.PickLeaving(start.Add(2*time.Second), list, Query{}); e != nil {
 		t.Error("picked later than an endpoint that leaves may get requests")
 	}
-	if d := b.said.Look(start, life("b"), backpressure.Ask{}); d.Open || d.Reason != backpressure.Leaving {
+	if d := b.said.Peek(start, life("b"), backpressure.Request{}); d.Open || d.Reason != backpressure.Leaving {
 		t.Errorf("%+v", d)
 	}
 }
--- a/coordination/balance/told.go
+++ b/coordination/balance/told.go
@@ -30,7 +30,7 @@
 
 // Own returns what this daemon has running: what it tells of itself, to be taken out
 // of what it is told of all.
-func (b *Balancer) Own() Running {
+func (b *Balancer) OwnRunning() Running {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	own := Running{}
@@ -44,7 +44,7 @@
 
 // Told takes what all daemons have running at the endpoints of a service, as of a
 // time, with own of it by this one.
-func (b *Balancer) Told(serviceName string, asOf time.Time, all, own Running) {
+func (b *Balancer) ReceiveRunning(serviceName string, asOf time.Time, all, own Running) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for id, n := range all {
@@ -63,10 +63,10 @@
 	options := make([]option, len(usable))
 	running := 0
 	for i, e := range usable {
-		l := b.load(e.Life())
+		l := b.load(e.Incarnation())
 		running += l.running + l.others
 		level := float64(l.running+l.others)/float64(b.slots(e)) + affinity*affinityRank(e, q)
-		if e.Domain != b.domain {
+		if e.FailureDomain != b.domain {
 			level += otherDomain
 		}
 		if l.running+l.others >= b.slots(e) {
@@ -85,7 +85,7 @@
 
 // Crowded reports whether all candidates are crowded, as far as is told: what this daemon
 // knows is too old then to find the one that has a slot free.
-func (b *Balancer) Crowded(now time.Time, candidates []*fleet.Endpoint, q Query) bool {
+func (b *Balancer) NearCapacity(now time.Time, candidates []*fleet.Endpoint, q Query) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	usable := b.usable(now, candidates, q)
@@ -93,7 +93,7 @@
 		return false
 	}
 	return !slices.ContainsFunc(usable, func(e *fleet.Endpoint) bool {
-		l := b.load(e.Life())
+		l := b.load(e.Incarnation())
 		return float64(l.running+l.others) < crowdedAt*float64(b.slots(e))
 	})
 }
--- a/coordination/claims/claims.go
+++ b/coordination/claims/claims.go
@@ -58,21 +58,21 @@
 // It is written as 32 characters, since the open records are written again
 // with each append.
 type Record struct {
-	Key  Key
-	Mark Mark
+	Key       Key
+	ClaimHash ClaimHash
 }
 
 // Mark is the hash of a claim id.
-type Mark uint64
+type ClaimHash uint64
 
 // MarkOf hashes a claim id.
-func MarkOf(claimID string) Mark { return Mark(xxhash.Sum64String(claimID)) }
+func HashClaimID(claimID string) ClaimHash { return ClaimHash(xxhash.Sum64String(claimID)) }
 
 const recordSize = KeySize + 8
 
 // MarshalText implements encoding.TextMarshaler.
 func (r Record) MarshalText() ([]byte, error) {
-	b := binary.BigEndian.AppendUint64(r.Key[:], uint64(r.Mark))
+	b := binary.BigEndian.AppendUint64(r.Key[:], uint64(r.ClaimHash))
 	return []byte(base64.RawURLEncoding.EncodeToString(b)), nil
 }
 
@@ -86,7 +86,7 @@
 		return fmt.Errorf("a record of %d bytes, found %d", recordSize, len(b))
 	}
 	copy(r.Key[:], b)
-	r.Mark = Mark(binary.BigEndian.Uint64(b[KeySize:]))
+	r.ClaimHash = ClaimHash(binary.BigEndian.Uint64(b[KeySize:]))
 	return nil
 }
 
@@ -149,13 +149,13 @@
 }
 
 // Heard tells of the platform's generation.
-type Heard struct{ Generation uint64 }
+type GenerationUpdate struct{ Generation uint64 }
 
-func (Claim) claimsEvent()     {}
-func (Release) claimsEvent()   {}
-func (ReadDone) claimsEvent()  {}
-func (WriteDone) claimsEvent() {}
-func (Heard) claimsEvent()     {}
+func (Claim) claimsEvent()            {}
+func (Release) claimsEvent()          {}
+func (ReadDone) claimsEvent()         {}
+func (WriteDone) claimsEvent()        {}
+func (GenerationUpdate) claimsEvent() {}
 
 // Result answers a Claim or Release.
 type Result struct {
@@ -199,21 +199,21 @@
 	after   int // reads begun before it came
 }
 
-func (r request) mark() Mark     { return MarkOf(r.claimID) }
-func (r request) record() Record { return Record{Key: r.key, Mark: r.mark()} }
+func (r request) mark() ClaimHash { return HashClaimID(r.claimID) }
+func (r request) record() Record  { return Record{Key: r.key, ClaimHash: r.mark()} }
 
 // Shard is one shard as its present owner sees it.
 type Shard struct {
 	opt     Options
 	head    Head
 	version storeversion.Version
-	current bool             // head was the newest at the last exchange
-	owns    bool             // no other owner has written since, as far as is known
-	stale   bool             // the platform has been restored since the head was read
-	restore []Record         // granted here, and lost by the platform in a restore
-	index   map[Key]Mark     // claimed keys
-	sealed  map[string][]Key // keys of each sealed segment
-	sealing *sealing         // of the write that is out
+	current bool              // head was the newest at the last exchange
+	owns    bool              // no other owner has written since, as far as is known
+	stale   bool              // the platform has been restored since the head was read
+	restore []Record          // granted here, and lost by the platform in a restore
+	index   map[Key]ClaimHash // claimed keys
+	sealed  map[string][]Key  // keys of each sealed segment
+	sealing *sealing          // of the write that is out
 	waiting []request
 	flying  []request // in the write that is out
 	next    *Head     // written by it
@@ -236,7 +236,7 @@
 		s.waiting = append(s.waiting, request{e.Key, e.ClaimID, false, s.reads})
 	case Release:
 		s.waiting = append(s.waiting, request{e.Key, e.ClaimID, true, s.reads})
-	case Heard:
+	case GenerationUpdate:
 		s.stale = s.owns && s.version.Generation < e.Generation
 		s.current = s.current && !s.stale
 	case ReadDone:
@@ -255,12 +255,12 @@
 	}
 	restored, before := s.owns && s.version.Generation < e.Version.Generation, s.index
 	s.head, s.version, s.current, s.owns, s.stale = e.Head, e.Version, true, true, false
-	s.index, s.sealed = map[Key]Mark{}, map[string][]Key{}
+	s.index, s.sealed = map[Key]ClaimHash{}, map[string][]Key{}
 	for name, seg := range e.Segments {
 		s.addSegment(name, seg.Records)
 	}
 	for _, r := range s.head.Open {
-		s.index[r.Key] = r.Mark
+		s.index[r.Key] = r.ClaimHash
 	}
 	if restored {
 		s.takeOver(before)
@@ -272,12 +272,12 @@
 
 // takeOver keeps what was granted here and is gone from a restored platform. It is written again
 // before anything else.
-func (s *Shard) takeOver(before map[Key]Mark) {
+func (s *Shard) takeOver(before map[Key]ClaimHash) {
 	s.restore = nil
 	for key, mark := range before {
 		if _, ok := s.index[key]; !ok {
 			s.index[key] = mark
-			s.restore = append(s.restore, Record{Key: key, Mark: mark})
+			s.restore = append(s.restore, Record{Key: key, ClaimHash: mark})
 		}
 	}
 	slices.SortFunc(s.restore, func(a, b Record) int { return bytes.Compare(a.Key[:], b.Key[:]) })
@@ -287,7 +287,7 @@
 	keys := make([]Key, len(records))
 	for i, r := range records {
 		keys[i] = r.Key
-		s.index[r.Key] = r.Mark
+		s.index[r.Key] = r.ClaimHash
 	}
 	s.sealed[name] = keys
 }
@@ -467,7 +467,7 @@
 		for _, ref := range old {
 			merged.Unix = max(merged.Unix, ref.Unix)
 			for _, k := range s.sealed[ref.Name] {
-				seg.Records = append(seg.Records, Record{Key: k, Mark: s.index[k]})
+				seg.Records = append(seg.Records, Record{Key: k, ClaimHash: s.index[k]})
 				s.sealing.keys = append(s.sealing.keys, k)
 			}
 		}
--- a/coordination/claims/restore_test.go
+++ b/coordination/claims/restore_test.go
@@ -43,7 +43,7 @@
 		case r.Write != nil && r.Write.ExpectedVersion.Generation == p.version.Generation && p.put(*r.Write):
 			o.s.Step(*now, WriteDone{Outcome: protocol.WriteOK, Version: p.version})
 		case r.Write != nil:
-			o.s.Step(*now, WriteDone{Outcome: protocol.WriteConflict, Version: p.version.At(0)})
+			o.s.Step(*now, WriteDone{Outcome: protocol.WriteConflict, Version: p.version.WithRevision(0)})
 		}
 	}
 	return outcomes
@@ -64,7 +64,7 @@
 			}
 		}
 		p.restore(c)
-		o.s.Step(now, Heard{Generation: p.version.Generation})
+		o.s.Step(now, GenerationUpdate{Generation: p.version.Generation})
 		carryOut(p, o, &now)
 		next := newOwner("b")
 		for i := range n {
@@ -95,7 +95,7 @@
 	if r.Write == nil || p.put(*r.Write) {
 		t.Fatalf("%+v: the condition holds", r)
 	}
-	a.s.Step(now, WriteDone{Outcome: protocol.WriteConflict, Version: p.version.At(0)})
+	a.s.Step(now, WriteDone{Outcome: protocol.WriteConflict, Version: p.version.WithRevision(0)})
 	p.restore(c)
 	carryOut(p, a, &now)
 	a.s.Step(now, Claim{Key: key, ClaimID: "z"})
--- a/coordination/discovery/discovery_test.go
+++ b/coordination/discovery/discovery_test.go
@@ -99,7 +99,7 @@
 // own word, lapse in an outage and be back, or be read anew, and says that it is ready each time.
 func TestOwnWordOfLeavingOutlastsTheEntry(t *testing.T) {
 	r := NewRegistry(testHeartbeat)
-	r.Leave(fleet.Incarnation{ID: "a", Born: 1000})
+	r.MarkLeaving(fleet.Incarnation{ID: "a", StartUnixMs: 1000})
 	r.Put(bornAt("a", 1000, 3, false), at(3))
 	if usable(r, "a") {
 		t.Fatal("an entry that came after the word takes requests")
@@ -163,7 +163,7 @@
 				stale := uint64(rapid.IntRange(0, int(revision)).Draw(t, "stale"))
 				r.List(now, []*fleet.Endpoint{endpoint(id, stale, leaving)}, at(stale), graceOf(t, now))
 			case 4:
-				r.Leave(fleet.Incarnation{ID: id})
+				r.MarkLeaving(fleet.Incarnation{ID: id})
 			}
 			r.Expire(now)
 			v, _ := r.View()
@@ -188,7 +188,7 @@
 
 func bornAt(id string, born int64, revision uint64, leaving bool) *fleet.Endpoint {
 	e := endpoint(id, revision, leaving)
-	e.Born = born
+	e.StartUnixMs = born
 	return e
 }
 
@@ -202,7 +202,7 @@
 	check := func(step string) {
 		t.Helper()
 		v, _ := r.View()
-		if e := v.ByID["e"]; e == nil || e.Born != 2000 || e.Leaving {
+		if e := v.ByID["e"]; e == nil || e.StartUnixMs != 2000 || e.Leaving {
 			t.Fatalf("%s: %+v", step, e)
 		}
 	}
@@ -211,9 +211,9 @@
 	check("a write of the life before that was carried out late")
 	r.Remove(now, "e", at(5), time.Time{})
 	check("the removal of the life before")
-	r.Leave(fleet.Incarnation{ID: "e", Born: 1000})
+	r.MarkLeaving(fleet.Incarnation{ID: "e", StartUnixMs: 1000})
 	check("the word of the life before that it leaves")
-	r.Leave(fleet.Incarnation{ID: "e", Born: 2000})
+	r.MarkLeaving(fleet.Incarnation{ID: "e", StartUnixMs: 2000})
 	if v, _ := r.View(); !v.ByID["e"].Leaving {
 		t.Fatal("its own word counts")
 	}
@@ -225,11 +225,11 @@
 	r := NewRegistry(testHeartbeat)
 	r.Put(endpoint("a", 5, false), at(5))
 	r.Put(endpoint("b", 5, false), at(5))
-	r.Unusable("a", at(4))
+	r.MarkUnusable("a", at(4))
 	if v, _ := r.View(); v.ByID["a"] == nil {
 		t.Fatal("an older entry was taken")
 	}
-	r.Unusable("a", at(6))
+	r.MarkUnusable("a", at(6))
 	if v, _ := r.View(); v.ByID["a"] != nil || v.ByID["b"] == nil {
 		t.Fatalf("%v", v.ByID)
 	}
--- a/coordination/discovery/follow.go
+++ b/coordination/discovery/follow.go
@@ -29,7 +29,7 @@
 	Pause time.Duration
 	// Retry is the pause after a failed call; it doubles up to RetryMost with
 	// each further one in a row.
-	Retry, RetryMost time.Duration
+	Retry, MaxRetry time.Duration
 }
 
 // Follower decides between listing and watching one kind of object.
@@ -71,7 +71,7 @@
 func (f *Follower) Failures() int { return f.failures }
 
 // SeenAt returns the time up to which every change has been seen.
-func (f *Follower) SeenAt() time.Time { return f.asOf }
+func (f *Follower) AsOf() time.Time { return f.asOf }
 
 // Listed reports a whole list as of a version, which was asked for at a time: it
 // holds what was true then.
@@ -96,7 +96,7 @@
 }
 
 func (f *Follower) succeeded(asOf, now time.Time) {
-	f.Rest()
+	f.Suspend()
 	f.synced, f.nextAt = true, now
 	if asOf.After(f.asOf) {
 		f.asOf = asOf
@@ -106,13 +106,13 @@
 // HistoryLost reports that the store cannot tell what came after Since: it is
 // there, and has said nothing.
 func (f *Follower) HistoryLost(now time.Time) {
-	f.Rest()
+	f.Suspend()
 	f.nextAt = now
 }
 
 // Rest ends the following for as long as this daemon takes what it follows from
 // another one; the next call is a list.
-func (f *Follower) Rest() { f.synced, f.failedAt, f.failures = false, time.Time{}, 0 }
+func (f *Follower) Suspend() { f.synced, f.failedAt, f.failures = false, time.Time{}, 0 }
 
 // Relist makes the next call a list.
 func (f *Follower) Relist() { f.synced = false }
@@ -124,7 +124,7 @@
 		f.failedAt = now
 	}
 	f.synced = false
-	f.nextAt = now.Add(min(max(f.opt.Retry, f.opt.RetryMost), f.opt.Retry<<min(f.failures, maxDoublings)))
+	f.nextAt = now.Add(min(max(f.opt.Retry, f.opt.MaxRetry), f.opt.Retry<<min(f.failures, maxDoublings)))
 	f.failures++
 }
 
--- a/coordination/discovery/outage.go
+++ b/coordination/discovery/outage.go
@@ -15,7 +15,7 @@
 	lapseGrace = 2 * time.Second
 	// WrittenAgainWithin is how long after its return the operator has written again what a store
 	// that has come back from a copy had lost.
-	WrittenAgainWithin = lapseGrace
+	RestoreRewriteWindow = lapseGrace
 )
 
 // Outage decides until when an entry that is missing may only have lapsed while
@@ -39,7 +39,7 @@
 // the time up to which its changes were known before, through anybody, zero for never,
 // and failures the number of this daemon's own calls that had failed in a row: a link
 // that is only full brings answers late, and rarely loses two.
-func (o *Outage) Ended(now, seen time.Time, failures int) {
+func (o *Outage) ObserveAnswer(now, seen time.Time, failures int) {
 	if failures >= outageFailures && !seen.IsZero() && now.Sub(seen) >= lapseBeats*o.heartbeat {
 		o.until = now.Add(lapseGrace)
 	}
@@ -47,7 +47,7 @@
 
 // Restored takes the first answer of a later generation of the store: endpoints write again what
 // the copy lacks.
-func (o *Outage) Restored(now time.Time) { o.until = now.Add(lapseGrace) }
+func (o *Outage) ObserveRestore(now time.Time) { o.until = now.Add(lapseGrace) }
 
 // GraceUntil returns until when entries that go missing are kept.
 func (o *Outage) GraceUntil() time.Time { return o.until }
--- a/coordination/discovery/outage_test.go
+++ b/coordination/discovery/outage_test.go
@@ -26,7 +26,7 @@
 		if c.unheard > 0 {
 			seen = start.Add(-c.unheard)
 		}
-		o.Ended(start, seen, c.failures)
+		o.ObserveAnswer(start, seen, c.failures)
 		if got := o.GraceUntil().After(start); got != c.grace {
 			t.Errorf("%s: grace %v", name, got)
 		}
@@ -61,21 +61,21 @@
 	f := NewFollower(FollowOptions{})
 	asked := start
 	f.Listed(asked, asked.Add(late), at(1))
-	if got := f.SeenAt(); got != asked {
+	if got := f.AsOf(); got != asked {
 		t.Errorf("a list that was late is as of %v after its question", got.Sub(asked))
 	}
 	asked = start.Add(time.Second)
 	f.Watched(asked, asked.Add(wait+late), wait, at(1), false)
-	if got := f.SeenAt(); got != asked.Add(wait) {
+	if got := f.AsOf(); got != asked.Add(wait) {
 		t.Errorf("a watch without changes is as of %v after its question", got.Sub(asked))
 	}
 	asked = start.Add(10 * time.Second)
 	f.Watched(asked, asked.Add(wait/2), wait, at(2), true)
-	if got := f.SeenAt(); got != asked {
+	if got := f.AsOf(); got != asked {
 		t.Errorf("a watch with changes is as of %v after its question", got.Sub(asked))
 	}
 	f.Watched(asked.Add(-time.Second), asked, wait, at(2), true)
-	if got := f.SeenAt(); got != asked {
+	if got := f.AsOf(); got != asked {
 		t.Error("what was seen went back")
 	}
 }
--- a/coordination/discovery/registry.go
+++ b/coordination/discovery/registry.go
@@ -26,7 +26,7 @@
 	leaving map[string]fleet.Incarnation
 	version storeversion.Version
 	changed bool
-	aside   SetAside
+	aside   Discarded
 }
 
 // removal is how an id was last seen removed.
@@ -44,13 +44,13 @@
 }
 
 // SetAside is what was told and not taken since it was older than what is known.
-type SetAside struct {
+type Discarded struct {
 	Lists     int      // whole lists
 	Endpoints []string // ids whose description or removal was
 }
 
 // Empty reports whether nothing was set aside.
-func (a *SetAside) Empty() bool { return a.Lists == 0 && len(a.Endpoints) == 0 }
+func (a *Discarded) Empty() bool { return a.Lists == 0 && len(a.Endpoints) == 0 }
 
 type entry struct {
 	endpoint *fleet.Endpoint
@@ -146,11 +146,11 @@
 		r.enter(e)
 		return
 	}
-	if e.Life().Before(old.endpoint.Life()) {
+	if e.Incarnation().Before(old.endpoint.Incarnation()) {
 		r.setAside(e.ID)
 		return
 	}
-	if old.endpoint.Life().Before(e.Life()) {
+	if old.endpoint.Incarnation().Before(e.Incarnation()) {
 		r.entries[e.ID] = &entry{endpoint: e}
 		r.changed = true
 		return
@@ -189,13 +189,13 @@
 // than the removal: in a later generation, the same life, and not written again since it was first
 // named there. Such an entry is held back.
 func (r *Registry) mayBeOfTheCopy(e *fleet.Endpoint, gone removal) bool {
-	if e.Version.Generation == gone.at.Generation || gone.life.Before(e.Life()) {
+	if e.Version.Generation == gone.at.Generation || gone.life.Before(e.Incarnation()) {
 		return false
 	}
 	known := r.revived[e.ID]
 	switch {
 	case known == nil || known.first.Generation != e.Version.Generation:
-		r.revived[e.ID] = &revival{endpoint: e, first: e.Version, earlier: e.Life().Before(gone.life)}
+		r.revived[e.ID] = &revival{endpoint: e, first: e.Version, earlier: e.Incarnation().Before(gone.life)}
 	case e.Version.After(known.first):
 		return false
 	}
@@ -223,15 +223,15 @@
 func (r *Registry) setAside(id string) { r.aside.Endpoints = append(r.aside.Endpoints, id) }
 
 // TakeSetAside returns what was set aside since the last call.
-func (r *Registry) TakeSetAside() SetAside {
+func (r *Registry) TakeDiscarded() Discarded {
 	a := r.aside
-	r.aside = SetAside{}
+	r.aside = Discarded{}
 	return a
 }
 
 // Unusable takes an entry that names no endpoint to use: what was known under its id
 // is not used any more.
-func (r *Registry) Unusable(id string, version storeversion.Version) {
+func (r *Registry) MarkUnusable(id string, version storeversion.Version) {
 	r.version = storeversion.Max(r.version, version)
 	delete(r.revived, id)
 	if en := r.entries[id]; en != nil && !en.endpoint.Version.After(version) {
@@ -273,15 +273,15 @@
 	if len(r.removed) >= maxRemoved {
 		clear(r.removed)
 	}
-	r.removed[id] = removal{version, gone.Life()}
-	if gone.Leaving && gone.Born != 0 {
-		r.remember(gone.Life())
+	r.removed[id] = removal{version, gone.Incarnation()}
+	if gone.Leaving && gone.StartUnixMs != 0 {
+		r.remember(gone.Incarnation())
 	}
 	r.changed = true
 }
 
 // Leave marks a life as leaving, by its own word, whether it is listed now or later.
-func (r *Registry) Leave(life fleet.Incarnation) {
+func (r *Registry) MarkLeaving(life fleet.Incarnation) {
 	r.remember(life)
 	en := r.entries[life.ID]
 	if en == nil {
@@ -295,7 +295,7 @@
 
 // remember keeps for a life that it leaves.
 func (r *Registry) remember(life fleet.Incarnation) {
-	if known := r.leaving[life.ID]; known.Born == 0 || known.Before(life) {
+	if known := r.leaving[life.ID]; known.StartUnixMs == 0 || known.Before(life) {
 		r.forgetLeft()
 		r.leaving[life.ID] = life
 	}
@@ -304,7 +304,7 @@
 // withOwnWord returns a description with the endpoint's own word that it leaves.
 func (r *Registry) withOwnWord(e *fleet.Endpoint) *fleet.Endpoint {
 	left, ok := r.leaving[e.ID]
-	if !ok || e.Leaving || !left.Same(e.Life()) {
+	if !ok || e.Leaving || !left.Matches(e.Incarnation()) {
 		return e
 	}
 	marked := *e
@@ -346,7 +346,7 @@
 }
 
 // Pending reports whether Expire has something to do soon.
-func (r *Registry) Pending() bool {
+func (r *Registry) ExpiryPending() bool {
 	for _, back := range r.revived {
 		if !back.earlier {
 			return true
--- a/coordination/discovery/restore_test.go
+++ b/coordination/discovery/restore_test.go
@@ -18,7 +18,7 @@
 
 // described returns the description of an endpoint in its first life.
 func described(id string, version storeversion.Version, leaving bool) *fleet.Endpoint {
-	return &fleet.Endpoint{ID: id, Born: 1000, Service: "s", Address: id, Version: version, Leaving: leaving}
+	return &fleet.Endpoint{ID: id, StartUnixMs: 1000, Service: "s", Address: id, Version: version, Leaving: leaving}
 }
 
 // Guards against a view that stays as it was before the store came back from a copy, since its
@@ -39,7 +39,7 @@
 	if !usable(r, "new") {
 		t.Fatal("an answer of before the restore was taken")
 	}
-	if aside := r.TakeSetAside(); aside.Lists != 1 || len(aside.Endpoints) != 1 {
+	if aside := r.TakeDiscarded(); aside.Lists != 1 || len(aside.Endpoints) != 1 {
 		t.Fatalf("%+v set aside, want one list and one description", aside)
 	}
 }
@@ -50,7 +50,7 @@
 	for _, id := range []string{"said", "leaving", "left"} {
 		r.Put(described(id, in(1, 10), false), in(1, 10))
 	}
-	r.Leave(fleet.Incarnation{ID: "said", Born: 1000})
+	r.MarkLeaving(fleet.Incarnation{ID: "said", StartUnixMs: 1000})
 	r.Put(described("leaving", in(1, 11), true), in(1, 11))
 	r.Put(described("left", in(1, 12), true), in(1, 12))
 	r.Remove(start, "left", in(1, 13), time.Time{})
@@ -109,7 +109,7 @@
 	}
 	r = begin()
 	next := described("a", in(2, 17), false)
-	next.Born = 2000
+	next.StartUnixMs = 2000
 	r.Put(next, in(2, 17))
 	if !usable(r, "a") {
 		t.Fatal("its next life is not used")
@@ -121,7 +121,7 @@
 func TestEndpointThatTheCopyLacksIsKept(t *testing.T) {
 	r, o := NewRegistry(testHeartbeat), NewOutage(testHeartbeat)
 	r.Put(described("a", in(1, 90), false), in(1, 90))
-	o.Restored(start)
+	o.ObserveRestore(start)
 	if kept := r.List(start, nil, in(2, 50), o.GraceUntil()); len(kept) != 1 || !usable(r, "a") {
 		t.Fatal("an endpoint that the copy lacks is not kept")
 	}
@@ -166,7 +166,7 @@
 					born[id] += 1000
 				}
 				e := described(id, version, rapid.IntRange(0, 3).Draw(t, "leaving") == 0 || left[id] == born[id])
-				e.Born = born[id]
+				e.StartUnixMs = born[id]
 				stored[id] = e
 				r.Put(e, version)
 			case 3:
@@ -191,7 +191,7 @@
 					stored[id] = &again
 				}
 				copies = copies[:i+1]
-				o.Restored(now)
+				o.ObserveRestore(now)
 				list()
 			case 6:
 				list()
@@ -206,8 +206,8 @@
 			newest = v.Version
 			for id, e := range v.ByID {
 				if e.Leaving {
-					left[id] = max(left[id], e.Born)
-				} else if left[id] >= e.Born {
+					left[id] = max(left[id], e.StartUnixMs)
+				} else if left[id] >= e.StartUnixMs {
 					t.Fatalf("%s takes requests again after it was seen leaving", id)
 				}
 			}
@@ -220,10 +220,10 @@
 		}
 		v, _ := r.View()
 		for id, e := range stored {
-			if e.Leaving || e.Born < born[id] {
+			if e.Leaving || e.StartUnixMs < born[id] {
 				continue // the copy names a life that has ended
 			}
-			if got := v.ByID[id]; got == nil || got.Born < e.Born {
+			if got := v.ByID[id]; got == nil || got.StartUnixMs < e.StartUnixMs {
 				t.Fatalf("%s, which the store names as one that stays, is not used: %+v", id, got)
 			}
 		}
--- a/coordination/drain/drain.go
+++ b/coordination/drain/drain.go
@@ -22,7 +22,7 @@
 
 // SpreadTime is how long it may take until all peers know that this daemon
 // leaves; until then they may name it in new answers.
-const SpreadTime = 2 * time.Second
+const PropagationTime = 2 * time.Second
 
 // Machine is the shutdown of one daemon.
 type Machine struct {
@@ -47,7 +47,7 @@
 // Step passes time on. inProgress counts requests not yet answered; released
 // says that every lease has been given up.
 func (m *Machine) Step(now time.Time, inProgress int, released bool) Phase {
-	if m.phase == Lingering && !now.Before(m.since.Add(m.ttl+SpreadTime)) {
+	if m.phase == Lingering && !now.Before(m.since.Add(m.ttl+PropagationTime)) {
 		m.phase = Finishing
 	}
 	if m.phase == Finishing && inProgress == 0 && released {
--- a/coordination/grants/grants.go
+++ b/coordination/grants/grants.go
@@ -27,8 +27,8 @@
 	Arrivals int // since its last report
 	// Shut counts the calls that were refused since then because all endpoints with credit take
 	// none now, by their own word; ShutWorth is that of the last one.
-	Shut      int
-	ShutWorth int64
+	Unavailable      int
+	UnavailableWorth int64
 }
 
 // Credit is a number of requests that a daemon may keep at an endpoint.
@@ -40,7 +40,7 @@
 
 // ReportLife is how long a report counts. A daemon that has demand reports
 // several times within it.
-const ReportLife = 2 * time.Second
+const ReportTTL = 2 * time.Second
 
 // MaxWaitingPerItem bounds what one report can ask for, so that one daemon's
 // count cannot make the allocation slow.
@@ -52,34 +52,34 @@
 }
 
 // Book keeps the daemons' last reports.
-type Book struct {
+type Allocator struct {
 	reports  map[string]report
 	arrivals map[string]int
 }
 
 // NewBook returns an empty book.
-func NewBook() *Book {
-	return &Book{reports: map[string]report{}, arrivals: map[string]int{}}
+func NewAllocator() *Allocator {
+	return &Allocator{reports: map[string]report{}, arrivals: map[string]int{}}
 }
 
 // Report records what a daemon said at now.
-func (b *Book) Report(now time.Time, daemon string, units []UnitReport) {
+func (b *Allocator) Report(now time.Time, daemon string, units []UnitReport) {
 	b.reports[daemon] = report{at: now, units: units}
 	for _, u := range units {
 		b.arrivals[u.Unit] += u.Arrivals
 	}
 }
 
-func (b *Book) expire(now time.Time) {
+func (b *Allocator) expire(now time.Time) {
 	for daemon, r := range b.reports {
-		if now.Sub(r.at) > ReportLife {
+		if now.Sub(r.at) > ReportTTL {
 			delete(b.reports, daemon)
 		}
 	}
 }
 
 // Demand adds up all reports; arrivals count once.
-func (b *Book) Demand(now time.Time) map[string]placement.Demand {
+func (b *Allocator) Demand(now time.Time) map[string]placement.Demand {
 	b.expire(now)
 	total := map[string]placement.Demand{}
 	for _, r := range b.reports {
@@ -90,9 +90,9 @@
 				d.Waiting += w.Count
 				d.Worth = max(d.Worth, w.Worth)
 			}
-			if u.Shut > 0 {
-				d.Shut += u.Shut
-				d.Worth = max(d.Worth, u.ShutWorth)
+			if u.Unavailable > 0 {
+				d.Unavailable += u.Unavailable
+				d.Worth = max(d.Worth, u.UnavailableWorth)
 			}
 			total[u.Unit] = d
 		}
@@ -121,7 +121,7 @@
 // Invariant: the credits for an endpoint never add up to more than its slots.
 // Running requests keep their slots; waiting ones get slots by worth, then by
 // deadline; what is left is shared among the daemons that use the unit.
-func (b *Book) Allocate(now time.Time, replicas []placement.Replica) map[string][]Credit {
+func (b *Allocator) Allocate(now time.Time, replicas []placement.Replica) map[string][]Credit {
 	b.expire(now)
 	a := newAllocation(replicas)
 	for _, it := range b.items() {
@@ -131,7 +131,7 @@
 	return a.credits()
 }
 
-func (b *Book) items() []item {
+func (b *Allocator) items() []item {
 	var items []item
 	for daemon, r := range b.reports {
 		for _, u := range r.units {
@@ -192,7 +192,7 @@
 
 // shareRest gives standing credits: the slots left at an endpoint in equal
 // parts to the daemons that reported one of its units.
-func (a *allocation) shareRest(b *Book) {
+func (a *allocation) shareRest(b *Allocator) {
 	users := map[string][]creditKey{}
 	for daemon, r := range b.reports {
 		for _, u := range r.units {
@@ -226,7 +226,7 @@
 }
 
 // Users returns the number of daemons that have lately reported a unit.
-func (b *Book) Users(unit string) int {
+func (b *Allocator) Users(unit string) int {
 	n := 0
 	for _, r := range b.reports {
 		for _, u := range r.units {
@@ -239,4 +239,4 @@
 }
 
 // Len returns the number of daemons that have reported lately.
-func (b *Book) Len() int { return len(b.reports) }
+func (b *Allocator) Len() int { return len(b.reports) }
--- a/coordination/grants/grants_test.go
+++ b/coordination/grants/grants_test.go
@@ -26,7 +26,7 @@
 				replicas = append(replicas, placement.Replica{Unit: fmt.Sprint("u", u), Endpoint: bundle.Endpoint{Name: name, Slots: slots[name]}})
 			}
 		}
-		b := NewBook()
+		b := NewAllocator()
 		total := 0
 		for d := range rapid.IntRange(1, 5).Draw(t, "daemons") {
 			var units []UnitReport
@@ -62,7 +62,7 @@
 // One slot, three daemons: the worthiest waiting request gets it.
 func TestAllocateByWorth(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
-	b := NewBook()
+	b := NewAllocator()
 	for i, worth := range []int64{1, 9, 5} {
 		b.Report(now, fmt.Sprint("d", i), []UnitReport{{Unit: "u", Waiting: []Waiting{{Worth: worth, Count: 3, Deadline: now.Add(time.Second)}}}})
 	}
@@ -70,7 +70,7 @@
 	if len(credits) != 1 || len(credits["d1"]) != 1 || credits["d1"][0].Limit != 1 {
 		t.Errorf("credits %v, want one for d1", credits)
 	}
-	if credits = b.Allocate(now.Add(2*ReportLife), nil); len(credits) != 0 || b.Len() != 0 {
+	if credits = b.Allocate(now.Add(2*ReportTTL), nil); len(credits) != 0 || b.Len() != 0 {
 		t.Errorf("old reports still count: %v", credits)
 	}
 }
@@ -79,7 +79,7 @@
 	for _, daemons := range []int{7, 50, 370} {
 		b.Run(fmt.Sprint(daemons), func(b *testing.B) {
 			now := time.Unix(1_000_000, 0)
-			book := NewBook()
+			book := NewAllocator()
 			for d := range daemons {
 				book.Report(now, fmt.Sprint("d", d), []UnitReport{{Unit: "u0", InFlight: 1}, {Unit: "u1", Waiting: []Waiting{{Worth: 5, Count: 2, Deadline: now}}}})
 			}
--- a/coordination/lease/lease.go
+++ b/coordination/lease/lease.go
@@ -57,7 +57,7 @@
 
 // Heard tells what others know: the highest generation of the store, and the highest fence that
 // was given out.
-type Heard struct {
+type PeerState struct {
 	Generation uint64
 	Fence      uint64
 }
@@ -67,7 +67,7 @@
 func (WriteDone) leaseEvent() {}
 func (Release) leaseEvent()   {}
 func (Candidate) leaseEvent() {}
-func (Heard) leaseEvent()     {}
+func (PeerState) leaseEvent() {}
 
 // Write is a conditional update of the object.
 type Write struct {
@@ -172,16 +172,16 @@
 }
 
 // First reports whether nobody has held the lease before the present hold.
-func (m *Machine) First() bool { return m.first }
+func (m *Machine) FirstHold() bool { return m.first }
 
 // Until returns the end of the current hold; zero when none.
-func (m *Machine) Until() time.Time { return m.until }
+func (m *Machine) HeldUntil() time.Time { return m.until }
 
 // Fence returns that of the present hold, or of the last one; zero before the first.
 func (m *Machine) Fence() uint64 { return m.own.Fence }
 
 // Seen returns the last record known.
-func (m *Machine) Seen() Record { return m.seen }
+func (m *Machine) LastRecord() Record { return m.seen }
 
 // Step takes one event at a time that never runs backwards.
 func (m *Machine) Step(now time.Time, e Event) {
@@ -191,7 +191,7 @@
 	case Release:
 		m.releasing = true
 		m.nextAt = now
-	case Heard:
+	case PeerState:
 		m.heard(now, e)
 	case ReadDone:
 		m.readDone(now, e)
@@ -200,7 +200,7 @@
 	}
 }
 
-func (m *Machine) heard(now time.Time, e Heard) {
+func (m *Machine) heard(now time.Time, e PeerState) {
 	m.highest = max(m.highest, e.Fence)
 	before := m.generation
 	m.hearGeneration(e.Generation)
--- a/coordination/lease/lease_test.go
+++ b/coordination/lease/lease_test.go
@@ -55,7 +55,7 @@
 		if fence < h.fence || fence == h.fence && self != h.holder {
 			t.Fatalf("fence %d of %s after %d of %s", fence, self, h.fence, h.holder)
 		}
-		if fence > h.fence && h.fence > 0 && d.m.First() {
+		if fence > h.fence && h.fence > 0 && d.m.FirstHold() {
 			t.Fatalf("%s takes itself for the first holder after another", self)
 		}
 		h.fence, h.holder = fence, self
--- a/coordination/lease/restore_test.go
+++ b/coordination/lease/restore_test.go
@@ -135,7 +135,7 @@
 		}
 		daemons := []*daemon{begin("a"), begin("b"), begin("c")}
 		for _, d := range daemons {
-			d.m.Step(now, Heard{Generation: s.version.Generation})
+			d.m.Step(now, PeerState{Generation: s.version.Generation})
 		}
 		first = false
 		s.copyNow()
@@ -160,7 +160,7 @@
 			if rapid.IntRange(0, 19).Draw(t, "restart") == 0 {
 				daemons[i] = begin(daemons[i].m.opt.Self)
 			}
-			told := Heard{Fence: seen.fence}
+			told := PeerState{Fence: seen.fence}
 			if rapid.Bool().Draw(t, "told") {
 				told.Generation = s.version.Generation
 			}
@@ -181,7 +181,7 @@
 			t.Fatalf("%+v before anything is read", r)
 		}
 		m.Step(now, ReadDone{Version: storeversion.Version{Generation: generations[0]}})
-		m.Step(now, Heard{Generation: generations[1]})
+		m.Step(now, PeerState{Generation: generations[1]})
 		m.Step(now, Candidate{Yes: true})
 		if r := m.Ready(now); !r.Read {
 			t.Fatalf("%+v in a generation of which nothing is read", r)
@@ -194,8 +194,8 @@
 				m.Step(now.Add(passed), ReadDone{Version: storeversion.Version{Generation: generations[1]}})
 			}
 		}
-		if r := m.Ready(now.Add(2 * term)); r.Write == nil || m.First() {
-			t.Fatalf("generations %v: %+v after a term, first %v", generations, r, m.First())
+		if r := m.Ready(now.Add(2 * term)); r.Write == nil || m.FirstHold() {
+			t.Fatalf("generations %v: %+v after a term, first %v", generations, r, m.FirstHold())
 		}
 	}
 }
--- a/coordination/limit/book.go
+++ b/coordination/limit/book.go
@@ -14,20 +14,20 @@
 )
 
 // Word is what an endpoint has said last.
-type Word struct {
-	Rate    float64 // requests a second from all daemons; without meaning unless Limited
-	Limited bool    // else the endpoint names no limit any more
-	Version uint64
-	By      string // daemon that heard it
+type Report struct {
+	Rate     float64 // requests a second from all daemons; without meaning unless Limited
+	Limited  bool    // else the endpoint names no limit any more
+	Version  uint64
+	Reporter string // daemon that heard it
 }
 
 // Change is a belief that has changed.
 type Change struct {
-	Life        fleet.Incarnation
-	Before, Now Word
+	Incarnation fleet.Incarnation
+	Before, Now Report
 	// Tell says that the other daemons should be told: it is the begin or the end of a
 	// limit, or the first change in a while.
-	Tell bool
+	Publish bool
 }
 
 const (
@@ -37,30 +37,30 @@
 	tellChange = time.Second
 	tellTurn   = 100 * time.Millisecond
 	// Remember is how long the end of a limit is remembered: late words of it are no news.
-	Remember = 10 * time.Minute
+	Retention = 10 * time.Minute
 )
 
 // belief is what is known of one life of an endpoint.
 type belief struct {
-	word Word
+	word Report
 	// learned is when the word was heard last. What an answer says to a request that was sent
 	// after it is newer; of others that cannot be told.
 	learned time.Time
-	told    Word
+	told    Report
 	toldAt  time.Time
 }
 
 // Book is the beliefs of one daemon. It is not safe for concurrent use.
-type Book struct {
+type Tracker struct {
 	self    string
 	beliefs map[fleet.Incarnation]*belief
 }
 
 // New returns a book of a daemon that has heard nothing.
-func New(self string) *Book { return &Book{self: self, beliefs: map[fleet.Incarnation]*belief{}} }
+func New(self string) *Tracker { return &Tracker{self: self, beliefs: map[fleet.Incarnation]*belief{}} }
 
 // Heard takes what an answer says to a request that was sent at some time.
-func (b *Book) Heard(now, sent time.Time, life fleet.Incarnation, rate float64, limited bool) (Change, bool) {
+func (b *Tracker) ObserveReport(now, sent time.Time, life fleet.Incarnation, rate float64, limited bool) (Change, bool) {
 	k := b.beliefs[life]
 	switch {
 	case k == nil && !limited:
@@ -76,7 +76,7 @@
 	if before.Limited == limited && (!limited || before.Rate == rate) {
 		return b.overdue(now, life, k)
 	}
-	k.word = Word{Rate: rate, Limited: limited, Version: max(before.Version+1, uint64(now.UnixMilli())), By: b.self}
+	k.word = Report{Rate: rate, Limited: limited, Version: max(before.Version+1, uint64(now.UnixMilli())), Reporter: b.self}
 	least := tellChange
 	if before.Limited != limited {
 		least = tellTurn
@@ -85,11 +85,11 @@
 	if tell {
 		k.told, k.toldAt = k.word, now
 	}
-	return Change{Life: life, Before: before, Now: k.word, Tell: tell}, true
+	return Change{Incarnation: life, Before: before, Now: k.word, Publish: tell}, true
 }
 
 // Untold returns the changes that were not told when they came and should be by now.
-func (b *Book) Untold(now time.Time) []Change {
+func (b *Tracker) TakePending(now time.Time) []Change {
 	var list []Change
 	for life, k := range b.beliefs {
 		if k.untold(b.self, now) {
@@ -101,9 +101,9 @@
 
 // overdue returns a change that was not told when it came, or a limit that was told so long ago
 // that daemons which start now would not hear of it.
-func (b *Book) overdue(now time.Time, life fleet.Incarnation, k *belief) (Change, bool) {
-	if k.word.Limited && k.word.age(now) > Remember/2 {
-		k.word.Version, k.word.By = uint64(now.UnixMilli()), b.self
+func (b *Tracker) overdue(now time.Time, life fleet.Incarnation, k *belief) (Change, bool) {
+	if k.word.Limited && k.word.age(now) > Retention/2 {
+		k.word.Version, k.word.Reporter = uint64(now.UnixMilli()), b.self
 		return k.tell(now, life), true
 	}
 	if k.untold(b.self, now) {
@@ -114,26 +114,26 @@
 
 // untold reports whether a daemon should tell now what it has heard and not told.
 func (k *belief) untold(self string, now time.Time) bool {
-	return k.word.By == self && k.told.Version != k.word.Version && now.Sub(k.toldAt) >= tellChange
+	return k.word.Reporter == self && k.told.Version != k.word.Version && now.Sub(k.toldAt) >= tellChange
 }
 
 // tell returns the last word to be told.
 func (k *belief) tell(now time.Time, life fleet.Incarnation) Change {
 	k.told, k.toldAt = k.word, now
-	return Change{Life: life, Before: k.word, Now: k.word, Tell: true}
+	return Change{Incarnation: life, Before: k.word, Now: k.word, Publish: true}
 }
 
 // age returns about how long ago a word was new: its version is a time of day, unless words
 // came faster than that.
-func (w Word) age(now time.Time) time.Duration {
+func (w Report) age(now time.Time) time.Duration {
 	return time.Duration(now.UnixMilli()-int64(w.Version)) * time.Millisecond
 }
 
 // Stale reports whether a word of some version is so old that daemons forget it.
-func Stale(now time.Time, version uint64) bool { return Word{Version: version}.age(now) > Remember }
+func Stale(now time.Time, version uint64) bool { return Report{Version: version}.age(now) > Retention }
 
 // Told takes what another daemon has heard.
-func (b *Book) Told(now time.Time, life fleet.Incarnation, w Word) (Change, bool) {
+func (b *Tracker) ReceiveReport(now time.Time, life fleet.Incarnation, w Report) (Change, bool) {
 	k := b.beliefs[life]
 	if k == nil {
 		k = &belief{}
@@ -145,26 +145,26 @@
 	before := k.word
 	k.word, k.learned = w, now
 	k.told, k.toldAt = w, now
-	return Change{Life: life, Before: before, Now: w}, before.Limited != w.Limited || before.Rate != w.Rate
+	return Change{Incarnation: life, Before: before, Now: w}, before.Limited != w.Limited || before.Rate != w.Rate
 }
 
 // Of returns the last word of an endpoint's life.
-func (b *Book) Of(life fleet.Incarnation) (Word, bool) {
+func (b *Tracker) Latest(life fleet.Incarnation) (Report, bool) {
 	if k := b.beliefs[life]; k != nil {
 		return k.word, true
 	}
-	return Word{}, false
+	return Report{}, false
 }
 
 // Keep forgets lives that have ended, and limits that ended long ago; it returns the limits
 // that it has forgotten.
-func (b *Book) Keep(now time.Time, listed func(fleet.Incarnation) bool) []Change {
+func (b *Tracker) Prune(now time.Time, listed func(fleet.Incarnation) bool) []Change {
 	var dropped []Change
 	for life, k := range b.beliefs {
-		long := now.Sub(k.learned) > Remember
+		long := now.Sub(k.learned) > Retention
 		switch {
 		case k.word.Limited && !listed(life) && now.Sub(k.learned) > unlistedFor:
-			dropped = append(dropped, Change{Life: life, Before: k.word})
+			dropped = append(dropped, Change{Incarnation: life, Before: k.word})
 			delete(b.beliefs, life)
 		case !k.word.Limited && long:
 			delete(b.beliefs, life)
@@ -178,8 +178,8 @@
 const unlistedFor = time.Minute
 
 // Limited returns the lives that name a limit now, with their last words.
-func (b *Book) Limited() map[fleet.Incarnation]Word {
-	limited := map[fleet.Incarnation]Word{}
+func (b *Tracker) Limited() map[fleet.Incarnation]Report {
+	limited := map[fleet.Incarnation]Report{}
 	for life, k := range b.beliefs {
 		if k.word.Limited {
 			limited[life] = k.word
--- a/coordination/limit/book_test.go
+++ b/coordination/limit/book_test.go
@@ -11,7 +11,7 @@
 
 var (
 	start = time.Unix(1_000_000, 0)
-	life  = fleet.Incarnation{ID: "i-1", Born: 5}
+	life  = fleet.Incarnation{ID: "i-1", StartUnixMs: 5}
 )
 
 func at(seconds float64) time.Time {
@@ -50,11 +50,11 @@
 		first := uint64(0)
 		for _, s := range c.said {
 			if s.told > 0 {
-				b.Told(at(s.now), life, Word{Rate: s.rate, Limited: s.limited, Version: first + s.told, By: "other"})
+				b.ReceiveReport(at(s.now), life, Report{Rate: s.rate, Limited: s.limited, Version: first + s.told, Reporter: "other"})
 				continue
 			}
-			b.Heard(at(s.now), at(s.sent), life, s.rate, s.limited)
-			if w, _ := b.Of(life); first == 0 {
+			b.ObserveReport(at(s.now), at(s.sent), life, s.rate, s.limited)
+			if w, _ := b.Latest(life); first == 0 {
 				first = w.Version
 			}
 		}
@@ -70,8 +70,8 @@
 func TestWhatIsToldOfALimit(t *testing.T) {
 	b := New("d")
 	tells := func(seconds, rate float64, limited bool) bool {
-		c, _ := b.Heard(at(seconds), at(seconds-0.01), life, rate, limited)
-		return c.Tell
+		c, _ := b.ObserveReport(at(seconds), at(seconds-0.01), life, rate, limited)
+		return c.Publish
 	}
 	for _, c := range []struct {
 		seconds, rate float64
@@ -86,10 +86,10 @@
 			t.Errorf("at %g s, %g a second: told %v, want %v", c.seconds, c.rate, got, c.told)
 		}
 	}
-	if n := len(b.Untold(at(600.5))); n != 0 {
+	if n := len(b.TakePending(at(600.5))); n != 0 {
 		t.Errorf("%d changes told shortly after the last", n)
 	}
-	if n := len(b.Untold(at(602))); n != 1 || len(b.Untold(at(602.1))) != 0 {
+	if n := len(b.TakePending(at(602))); n != 1 || len(b.TakePending(at(602.1))) != 0 {
 		t.Errorf("%d changes told late, want one, once", n)
 	}
 }
@@ -99,24 +99,24 @@
 	b := New("d")
 	gone, ended, listed := fleet.Incarnation{ID: "gone"}, fleet.Incarnation{ID: "ended"}, fleet.Incarnation{ID: "listed"}
 	for _, l := range []fleet.Incarnation{gone, ended, listed} {
-		b.Heard(at(0), at(0), l, 1, true)
+		b.ObserveReport(at(0), at(0), l, 1, true)
 	}
-	b.Heard(at(1), at(0.5), ended, 0, false)
+	b.ObserveReport(at(1), at(0.5), ended, 0, false)
 	there := func(l fleet.Incarnation) bool { return l != gone }
-	if dropped := b.Keep(at(30), there); len(dropped) != 0 {
+	if dropped := b.Prune(at(30), there); len(dropped) != 0 {
 		t.Errorf("%v forgotten though the list may be old", dropped)
 	}
-	if dropped := b.Keep(at(100), there); len(dropped) != 1 || dropped[0].Life != gone {
+	if dropped := b.Prune(at(100), there); len(dropped) != 1 || dropped[0].Incarnation != gone {
 		t.Errorf("%v forgotten, want the one that is gone", dropped)
 	}
-	if _, known := b.Of(ended); !known {
+	if _, known := b.Latest(ended); !known {
 		t.Error("the end of a limit is forgotten while late words of it may come")
 	}
-	b.Keep(at(1000), there)
-	if _, known := b.Of(ended); known {
+	b.Prune(at(1000), there)
+	if _, known := b.Latest(ended); known {
 		t.Error("the end of a limit is remembered for ever")
 	}
-	if _, known := b.Of(listed); !known {
+	if _, known := b.Latest(listed); !known {
 		t.Error("the limit of an endpoint that is there is forgotten")
 	}
 	if !Stale(at(1000), uint64(at(0).UnixMilli())) || Stale(at(300), uint64(at(0).UnixMilli())) {
@@ -128,15 +128,15 @@
 // to the same belief.
 func TestAllComeToOneBelief(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		books := []*Book{New("a"), New("b"), New("c")}
-		var told []Word
+		books := []*Tracker{New("a"), New("b"), New("c")}
+		var told []Report
 		now := 1.0
 		for range rapid.IntRange(1, 20).Draw(t, "answers") {
 			now += rapid.Float64Range(0.01, 3).Draw(t, "pause")
 			b := books[rapid.IntRange(0, 2).Draw(t, "daemon")]
 			rate, limited := float64(rapid.IntRange(0, 3).Draw(t, "rate")), rapid.Bool().Draw(t, "limited")
-			before, _ := b.Of(life)
-			if c, ok := b.Heard(at(now), at(now-0.005), life, rate, limited); ok {
+			before, _ := b.Latest(life)
+			if c, ok := b.ObserveReport(at(now), at(now-0.005), life, rate, limited); ok {
 				told = append(told, c.Now)
 				if c.Now.Version < before.Version {
 					t.Fatalf("version %d after %d", c.Now.Version, before.Version)
@@ -145,12 +145,12 @@
 		}
 		for _, b := range books {
 			for _, i := range rapid.Permutation(indices(len(told))).Draw(t, "order") {
-				b.Told(at(now+1), life, told[i])
+				b.ReceiveReport(at(now+1), life, told[i])
 			}
 		}
-		first, _ := books[0].Of(life)
+		first, _ := books[0].Latest(life)
 		for _, b := range books[1:] {
-			if w, _ := b.Of(life); w.Version != first.Version {
+			if w, _ := b.Latest(life); w.Version != first.Version {
 				t.Fatalf("%+v and %+v", first, w)
 			}
 		}
@@ -171,7 +171,7 @@
 		runTime time.Duration
 		want    int
 	}{{0, time.Second, 1}, {1.1, time.Second, 1}, {10, 500 * time.Millisecond, 5}, {100, time.Second, 100}} {
-		if got := (Word{Rate: c.rate}).Capacity(c.runTime); got != c.want {
+		if got := (Report{Rate: c.rate}).Capacity(c.runTime); got != c.want {
 			t.Errorf("%g a second that run %v: %d, want %d", c.rate, c.runTime, got, c.want)
 		}
 	}
--- a/coordination/membership/membership.go
+++ b/coordination/membership/membership.go
@@ -74,7 +74,7 @@
 	DeadFor      time.Duration // before a dead member is forgotten
 	Fanout       int           // members told at once of a change
 	MaxPiggyback int           // entries on one message
-	QuietBefore  time.Duration // quiet time before differing digests cause a full exchange
+	QuietPeriod  time.Duration // quiet time before differing digests cause a full exchange
 	Seed         uint64
 	// Stale reports whether a fact is too old to be kept or learned; nil: none is. All
 	// members must come to the same answer within seconds, or they tell each other for ever.
@@ -85,7 +85,7 @@
 func DefaultOptions(seed uint64) Options {
 	return Options{
 		Period: time.Second, ProbeTimeout: 500 * time.Millisecond, SuspectFor: 3 * time.Second,
-		DeadFor: time.Minute, Fanout: 3, MaxPiggyback: 24, QuietBefore: time.Second, Seed: seed,
+		DeadFor: time.Minute, Fanout: 3, MaxPiggyback: 24, QuietPeriod: time.Second, Seed: seed,
 	}
 }
 
@@ -99,13 +99,13 @@
 }
 
 // Indirect asks a member to probe another.
-type Indirect struct{ Via, Target Member }
+type IndirectProbe struct{ Via, Target Member }
 
 // Ready is what the caller has to do now.
 type Ready struct {
-	Messages  []Message
-	Indirects []Indirect
-	Facts     []Entry // that were learned
+	Messages       []Message
+	IndirectProbes []IndirectProbe
+	Facts          []Entry // that were learned
 }
 
 type entry struct {
@@ -386,7 +386,7 @@
 // compare asks for a full exchange when the digests still differ after a
 // quiet time; while news travels they differ all the time.
 func (m *Machine) compare(now time.Time, from string, digest uint64) {
-	if digest != m.Digest() && now.Sub(m.lastNews) >= m.opt.QuietBefore && !slices.Contains(m.fullTo, from) {
+	if digest != m.Digest() && now.Sub(m.lastNews) >= m.opt.QuietPeriod && !slices.Contains(m.fullTo, from) {
 		m.fullTo = append(m.fullTo, from)
 	}
 }
@@ -472,7 +472,7 @@
 		p.indirect = true
 		for _, via := range m.pick(m.opt.Fanout) {
 			if via.ID != p.target {
-				r.Indirects = append(r.Indirects, Indirect{Via: via, Target: *e.member})
+				r.IndirectProbes = append(r.IndirectProbes, IndirectProbe{Via: via, Target: *e.member})
 			}
 		}
 	}
--- a/coordination/membership/membership_test.go
+++ b/coordination/membership/membership_test.go
@@ -76,7 +76,7 @@
 			w.bytes[from] += size(answer)
 			m.Answer(w.now, msg.To.ID, true, to.Digest(), answer, msg.Full)
 		}
-		for _, ind := range r.Indirects {
+		for _, ind := range r.IndirectProbes {
 			w.messages[from]++
 			m.IndirectAnswer(ind.Target.ID, !w.cut[ind.Via.ID] && !w.cut[ind.Target.ID])
 		}
@@ -275,7 +275,7 @@
 		}
 		list = append(list, m)
 	}
-	ranked := Ablest("duty", list)
+	ranked := RendezvousByCapacity("duty", list)
 	for i, m := range ranked {
 		if able := m.Capacity == 800; able != (i < 3) {
 			t.Fatalf("place %d has capacity %d", i, m.Capacity)
@@ -284,13 +284,13 @@
 	for i := range list {
 		list[i].Leaving = list[i].Capacity == 800
 	}
-	if got, want := Ablest("duty", list), Rendezvous("duty", list); !reflect.DeepEqual(got, want) || len(got) != 9 {
+	if got, want := RendezvousByCapacity("duty", list), Rendezvous("duty", list); !reflect.DeepEqual(got, want) || len(got) != 9 {
 		t.Fatalf("%v, want %v", got, want)
 	}
 	for i := range list {
 		list[i].Capacity, list[i].Leaving = 0, false
 	}
-	if got, want := Ablest("duty", list), Rendezvous("duty", list); !reflect.DeepEqual(got, want) {
+	if got, want := RendezvousByCapacity("duty", list), Rendezvous("duty", list); !reflect.DeepEqual(got, want) {
 		t.Fatalf("%v, want %v", got, want)
 	}
 }
--- a/coordination/membership/rank.go
+++ b/coordination/membership/rank.go
@@ -19,7 +19,7 @@
 // Ablest orders members like Rendezvous, those on the larger hosts before the others: for
 // duties that one daemon has for many. They cost as much on a small host, which then has
 // that much less for its callers, and is late with both.
-func Ablest(key string, members []Member) []Member {
+func RendezvousByCapacity(key string, members []Member) []Member {
 	largest := 0
 	for _, m := range members {
 		if takesPart(m) {
--- a/coordination/placement/decide.go
+++ b/coordination/placement/decide.go
@@ -234,7 +234,7 @@
 		}
 	}
 	for name, d := range m.demand {
-		if d.Waiting+d.Shut == 0 || !m.needsMore(o, name, d) {
+		if d.Waiting+d.Unavailable == 0 || !m.needsMore(o, name, d) {
 			continue
 		}
 		u := m.conf.Units[name]
@@ -285,7 +285,7 @@
 		replicas++
 		slots = max(slots, ep.conf.Slots)
 	}
-	return replicas == 0 || d.Waiting > slots || d.Shut > 0
+	return replicas == 0 || d.Waiting > slots || d.Unavailable > 0
 }
 
 func (m *Machine) baseReady(u bundle.Unit) bool {
@@ -443,7 +443,7 @@
 // time it has been idle.
 func (m *Machine) missed(now time.Time, a *Assignment) float64 {
 	idle := now.Sub(m.idleSince(a)).Seconds()
-	if m.opt.Eviction == EvictOldest {
+	if m.opt.Eviction == EvictLeastRecentlyUsed {
 		return 1 / (1 + idle)
 	}
 	return m.conf.Units[a.Unit].Load.Seconds() / (1 + idle)
--- a/coordination/placement/estimate.go
+++ b/coordination/placement/estimate.go
@@ -39,16 +39,16 @@
 
 // Wait is the expected time until a unit can take a request.
 type Wait struct {
-	Time   time.Duration
-	Reason string        // why it cannot be served; empty when it can
-	After  time.Duration // when to come back, with Reason
+	Time       time.Duration
+	Reason     string        // why it cannot be served; empty when it can
+	RetryAfter time.Duration // when to come back, with Reason
 }
 
 // Reasons for which a unit cannot be served now.
 const (
-	ReasonUnknown = "unknown-unit"
-	ReasonNotOurs = "not-loaded-by-operator"
-	ReasonNoLease = "no-placement-holder"
+	ReasonUnknown             = "unknown-unit"
+	ReasonNotLoadedByOperator = "not-loaded-by-operator"
+	ReasonNoLease             = "no-placement-holder"
 )
 
 // Estimate returns the wait for a unit at now.
@@ -81,13 +81,13 @@
 		return Wait{Time: firstLook}
 	}
 	if m.conf.Service.Mode != bundle.ModeManaged {
-		return Wait{Reason: ReasonNotOurs, After: time.Minute}
+		return Wait{Reason: ReasonNotLoadedByOperator, RetryAfter: time.Minute}
 	}
 	if !m.held && m.takeoverAt.After(now) {
 		return Wait{Time: m.takeoverAt.Sub(now) + m.queuedLoad(now, u)}
 	}
 	if !m.held {
-		return Wait{Reason: ReasonNoLease, After: 2 * m.opt.OrderTTL}
+		return Wait{Reason: ReasonNoLease, RetryAfter: 2 * m.opt.OrderTTL}
 	}
 	return Wait{Time: m.queuedLoad(now, u)}
 }
--- a/coordination/placement/machine.go
+++ b/coordination/placement/machine.go
@@ -35,7 +35,7 @@
 	// would take again over the time they have been idle.
 	EvictCheapest Eviction = iota
 	// EvictOldest unloads the least recently used.
-	EvictOldest
+	EvictLeastRecentlyUsed
 	// EvictNever unloads nothing.
 	EvictNever
 )
@@ -248,14 +248,14 @@
 
 func (m *Machine) observed(now time.Time, e Observed) {
 	ep := m.endpoints[e.State.Endpoint]
-	if ep == nil || e.Asked.Before(ep.asked) {
+	if ep == nil || e.RequestedAt.Before(ep.asked) {
 		return
 	}
 	for _, u := range e.State.Units {
 		m.observedUnit(now, ep, u)
 	}
 	ep.setState(e.State)
-	ep.asked, ep.stateFence, ep.down = e.Asked, e.Fence, false
+	ep.asked, ep.stateFence, ep.down = e.RequestedAt, e.Fence, false
 }
 
 // observedUnit learns load times from the change of a unit's status.
@@ -288,7 +288,7 @@
 
 func (m *Machine) demandChanged(now time.Time, units map[string]Demand) {
 	for unit, d := range units {
-		if d.Waiting+d.Shut+d.InFlight+d.Arrivals > 0 {
+		if d.Waiting+d.Unavailable+d.InFlight+d.Arrivals > 0 {
 			m.lastActive[unit] = now
 		}
 		if d.Arrivals > 0 && m.opt.Policy != nil {
--- a/coordination/placement/object.go
+++ b/coordination/placement/object.go
@@ -164,11 +164,11 @@
 
 // Demand is what all daemons together ask of a unit.
 type Demand struct {
-	Waiting  int   // requests in queues
-	Shut     int   // requests refused lately since all replicas take none now, by their own word
-	Worth    int64 // of the worthiest of both
-	InFlight int
-	Arrivals int // since the last Demand
+	Waiting     int   // requests in queues
+	Unavailable int   // requests refused lately since all replicas take none now, by their own word
+	Worth       int64 // of the worthiest of both
+	InFlight    int
+	Arrivals    int // since the last Demand
 }
 
 // Cost is what a replica costs.
@@ -226,9 +226,9 @@
 // Observed reports an endpoint's own state. Fence is the lease fence under
 // which the endpoint was claimed before the state was asked for; 0 if none.
 type Observed struct {
-	State protocol.EngineState
-	Fence uint64
-	Asked time.Time // when the state was asked for
+	State       protocol.EngineState
+	Fence       uint64
+	RequestedAt time.Time // when the state was asked for
 }
 
 // EndpointDown reports that an endpoint does not answer.
--- a/coordination/placement/placement_test.go
+++ b/coordination/placement/placement_test.go
@@ -180,7 +180,7 @@
 		if w.quiet || w.chance("poll", 3) {
 			asked, claimed := w.now, d.p.ClaimedFence(name)
 			state := e.state(w.now, name)
-			d.send(func() { d.p.Step(w.now, Observed{State: state, Fence: claimed, Asked: asked}) })
+			d.send(func() { d.p.Step(w.now, Observed{State: state, Fence: claimed, RequestedAt: asked}) })
 		}
 	}
 	for _, f := range d.p.Former() {
@@ -205,7 +205,7 @@
 	took := false
 	if !w.chance("lost before", 8) {
 		if took = wr.ExpectedVersion == w.leaseVersion; took {
-			w.leaseRec, w.leaseVersion = wr.Record, w.leaseVersion.At(w.leaseVersion.Revision+1)
+			w.leaseRec, w.leaseVersion = wr.Record, w.leaseVersion.WithRevision(w.leaseVersion.Revision+1)
 		}
 		if !w.chance("answer lost", 8) {
 			out, version := protocol.WriteConflict, w.leaseVersion
@@ -223,7 +223,7 @@
 	if !w.chance("lost before", 8) {
 		took := wr.ExpectedVersion == w.objVersion
 		if took {
-			w.obj, w.objVersion = *wr.Object.clone(), w.objVersion.At(w.objVersion.Revision+1)
+			w.obj, w.objVersion = *wr.Object.clone(), w.objVersion.WithRevision(w.objVersion.Revision+1)
 		}
 		if !w.chance("answer lost", 8) {
 			out, version := protocol.WriteConflict, w.objVersion
@@ -451,13 +451,13 @@
 	}
 	drive()
 	m.Step(now, DemandChanged{Units: map[string]Demand{"m0": {Waiting: 1, Worth: 1}}})
-	m.Step(now, Observed{State: protocol.EngineState{Endpoint: "e1", MemoryMiB: memory}, Fence: 1, Asked: now})
+	m.Step(now, Observed{State: protocol.EngineState{Endpoint: "e1", MemoryMiB: memory}, Fence: 1, RequestedAt: now})
 	if orders := drive(); len(orders) > 0 {
 		t.Fatalf("loaded before all endpoints were seen: %+v", orders)
 	}
 	m.Step(now, Observed{State: protocol.EngineState{Endpoint: "e0", MemoryMiB: memory, Units: []protocol.EngineUnit{
 		{Unit: "m0", Version: "1", Status: protocol.UnitReady, MemoryMiB: 40},
-	}}, Fence: 1, Asked: now})
+	}}, Fence: 1, RequestedAt: now})
 	if orders := drive(); len(orders) > 0 || m.obj.replicas("m0") != 1 || m.obj.Assignments[0].Endpoint != "e0" {
 		t.Errorf("orders %+v, record %+v", orders, m.obj.Assignments)
 	}
--- a/coordination/quarantine/blame.go
+++ b/coordination/quarantine/blame.go
@@ -3,28 +3,28 @@
 import "time"
 
 // standing judges a case by itself and by what else ran where its endpoints ended.
-func (m *Machine) standing(c *Case) Standing {
-	s := Standing{Case: c.clone()}
+func (m *Machine) standing(c *Record) Assessment {
+	s := Assessment{Record: c.clone()}
 	mine := c.wholeEnds()
-	for i, e := range c.Ends {
+	for i, e := range c.Crashes {
 		switch {
-		case e.Forgiven || m.explained(c, e, mine):
-		case e.doubtful() || alongside(c.Ends[:i], e):
-			s.Blame += partBlame
+		case e.Cleared || m.explained(c, e, mine):
+		case e.doubtful() || alongside(c.Crashes[:i], e):
+			s.Suspicion += partBlame
 		default:
-			s.Blame += wholeBlame * max(1, len(e.Attempts))
+			s.Suspicion += wholeBlame * max(1, len(e.Attempts))
 		}
 	}
-	if s.Blame >= blameHeld {
-		s.Due = c.due()
+	if s.Suspicion >= blameHeld {
+		s.NextProbe = c.due()
 	}
 	return s
 }
 
 // explained reports whether another request that ran at the endpoint has ended more
 // endpoints than this one: then it has ended this one too.
-func (m *Machine) explained(c *Case, e End, mine int) bool {
-	for print := range m.byLife[e.Life] {
+func (m *Machine) explained(c *Record, e Crash, mine int) bool {
+	for print := range m.byLife[e.Incarnation] {
 		other := m.cases[print]
 		if other != c && other.wholeEnds() > mine && !other.forgave(e) {
 			return true
@@ -34,10 +34,10 @@
 }
 
 // forgave reports whether a case does not count the end, or only in part.
-func (c *Case) forgave(e End) bool {
-	for _, mine := range c.Ends {
+func (c *Record) forgave(e Crash) bool {
+	for _, mine := range c.Crashes {
 		if mine.Same(e) {
-			return mine.Forgiven || mine.doubtful()
+			return mine.Cleared || mine.doubtful()
 		}
 	}
 	return true
@@ -45,9 +45,9 @@
 
 // alongside reports whether an attempt had been sent well before another endpoint ended
 // first: both worked on the request at the same time.
-func alongside(earlier []End, e End) bool {
+func alongside(earlier []Crash, e Crash) bool {
 	for _, before := range earlier {
-		if !before.Forgiven && !before.At.After(e.At) && before.At.Sub(e.Sent) > sameMoment {
+		if !before.Cleared && !before.At.After(e.At) && before.At.Sub(e.Sent) > sameMoment {
 			return true
 		}
 	}
--- a/coordination/quarantine/machine.go
+++ b/coordination/quarantine/machine.go
@@ -20,117 +20,117 @@
 // number of trials never falls, so that cases can be merged in any order; a request is
 // held back only if its ends say so, and every hold has a time at which it is tried.
 type Machine struct {
-	cases  map[protocol.Fingerprint]*Case
+	cases  map[protocol.Fingerprint]*Record
 	byLife map[fleet.Incarnation]map[protocol.Fingerprint]bool
 	news   map[protocol.Fingerprint]bool // to be told to others
-	held   map[protocol.Fingerprint]Standing
+	held   map[protocol.Fingerprint]Assessment
 	turned map[protocol.Fingerprint]bool // held back, or no more, since the last Turned
 }
 
 // New returns a belief that knows nothing.
 func New() *Machine {
 	return &Machine{
-		cases: map[protocol.Fingerprint]*Case{}, byLife: map[fleet.Incarnation]map[protocol.Fingerprint]bool{},
-		news: map[protocol.Fingerprint]bool{}, held: map[protocol.Fingerprint]Standing{}, turned: map[protocol.Fingerprint]bool{},
+		cases: map[protocol.Fingerprint]*Record{}, byLife: map[fleet.Incarnation]map[protocol.Fingerprint]bool{},
+		news: map[protocol.Fingerprint]bool{}, held: map[protocol.Fingerprint]Assessment{}, turned: map[protocol.Fingerprint]bool{},
 	}
 }
 
 // Report is an attempt that ended with its endpoint.
-type Report struct {
+type CrashedAttempt struct {
 	Fingerprint protocol.Fingerprint
-	End         End
+	Crash       Crash
 	Software    Software
 }
 
 // Ended takes what this daemon has seen. A trial or an end is told to others once.
-func (m *Machine) Ended(now time.Time, r Report) {
-	m.Merge(now, []Case{{Fingerprint: r.Fingerprint, Ends: []End{r.End}, Software: []Software{r.Software}}})
+func (m *Machine) ObserveCrash(now time.Time, r CrashedAttempt) {
+	m.Merge(now, []Record{{Fingerprint: r.Fingerprint, Crashes: []Crash{r.Crash}, Software: []Software{r.Software}}})
 }
 
 // Served takes it that a request has been answered. One that was held back is harmless if
 // it was sent after the last end; otherwise one answer makes up for one end, so that a
 // request which ends every other endpoint is held back in the end.
-func (m *Machine) Served(now time.Time, print protocol.Fingerprint, sent time.Time) {
+func (m *Machine) ObserveSuccess(now time.Time, print protocol.Fingerprint, sent time.Time) {
 	c := m.cases[print]
 	if c == nil || c.endsLeft() == 0 {
 		return
 	}
 	next := c.clone()
 	all := m.held[print].Held() && sent.After(c.lastEnd())
-	for i := range next.Ends {
-		if next.Ends[i].Forgiven {
+	for i := range next.Crashes {
+		if next.Crashes[i].Cleared {
 			continue
 		}
-		next.Ends[i].Forgiven = true
+		next.Crashes[i].Cleared = true
 		if !all {
 			break
 		}
 	}
-	m.Merge(now, []Case{next})
+	m.Merge(now, []Record{next})
 }
 
 // Trial lets one request through if its trial is due, and reports whether it does. Only
 // the daemon that all agree on calls it.
-func (m *Machine) Trial(now time.Time, print protocol.Fingerprint, on Software) bool {
+func (m *Machine) GrantProbe(now time.Time, print protocol.Fingerprint, on Software) bool {
 	s := m.held[print]
 	if !s.Held() {
 		return true
 	}
-	if !s.TrialDue(now, on) {
+	if !s.ProbeDue(now, on) {
 		return false
 	}
-	next := s.Case.clone()
-	next.Trials++
-	next.TriedAt = now
+	next := s.Record.clone()
+	next.Probes++
+	next.ProbedAt = now
 	next.Software = append(next.Software, on)
-	m.Merge(now, []Case{next})
+	m.Merge(now, []Record{next})
 	return true
 }
 
 // GiveBack takes it that a trial has reached no endpoint: it has shown nothing, and the
 // next one is due at once.
-func (m *Machine) GiveBack(now time.Time, print protocol.Fingerprint, trial int) {
+func (m *Machine) ReturnProbe(now time.Time, print protocol.Fingerprint, trial int) {
 	c := m.cases[print]
-	if c == nil || c.Trials != trial || c.Reopened >= trial {
+	if c == nil || c.Probes != trial || c.LastReturned >= trial {
 		return // there was another one since, or it was given back
 	}
 	next := c.clone()
 	next.Returned++
-	next.Reopened = trial
-	m.Merge(now, []Case{next})
+	next.LastReturned = trial
+	m.Merge(now, []Record{next})
 }
 
 // Exonerate takes it that this daemon had served a request shortly before attempts that were
 // sent at some times, and so before ends that others tell of.
-func (m *Machine) Exonerate(now time.Time, print protocol.Fingerprint, servedBefore func(sent time.Time) bool) {
+func (m *Machine) MarkServedBefore(now time.Time, print protocol.Fingerprint, servedBefore func(sent time.Time) bool) {
 	c := m.cases[print]
 	if c == nil {
 		return
 	}
 	next := c.clone()
 	learned := false
-	for i := range next.Ends {
-		e := &next.Ends[i]
-		if !e.Served && servedBefore(e.Sent) {
-			e.Served, learned = true, true
+	for i := range next.Crashes {
+		e := &next.Crashes[i]
+		if !e.ServedBefore && servedBefore(e.Sent) {
+			e.ServedBefore, learned = true, true
 		}
 	}
 	if learned {
-		m.Merge(now, []Case{next})
+		m.Merge(now, []Record{next})
 	}
 }
 
 // Merge takes cases that others, or this daemon, know. It is idempotent and the order
 // does not matter.
-func (m *Machine) Merge(now time.Time, cases []Case) {
+func (m *Machine) Merge(now time.Time, cases []Record) {
 	for i := range cases {
 		in := &cases[i]
-		if now.Sub(in.last()) > Remember {
+		if now.Sub(in.last()) > Retention {
 			continue
 		}
 		c := m.cases[in.Fingerprint]
 		if c == nil {
-			c = &Case{Fingerprint: in.Fingerprint}
+			c = &Record{Fingerprint: in.Fingerprint}
 			m.cases[in.Fingerprint] = c
 		}
 		m.unindex(c)
@@ -145,36 +145,36 @@
 }
 
 // index notes at which endpoints a request has run.
-func (m *Machine) index(c *Case) {
-	for _, e := range c.Ends {
-		if m.byLife[e.Life] == nil {
-			m.byLife[e.Life] = map[protocol.Fingerprint]bool{}
+func (m *Machine) index(c *Record) {
+	for _, e := range c.Crashes {
+		if m.byLife[e.Incarnation] == nil {
+			m.byLife[e.Incarnation] = map[protocol.Fingerprint]bool{}
 		}
-		m.byLife[e.Life][c.Fingerprint] = true
+		m.byLife[e.Incarnation][c.Fingerprint] = true
 	}
 }
 
-func (m *Machine) unindex(c *Case) {
-	for _, e := range c.Ends {
-		delete(m.byLife[e.Life], c.Fingerprint)
-		if len(m.byLife[e.Life]) == 0 {
-			delete(m.byLife, e.Life)
+func (m *Machine) unindex(c *Record) {
+	for _, e := range c.Crashes {
+		delete(m.byLife[e.Incarnation], c.Fingerprint)
+		if len(m.byLife[e.Incarnation]) == 0 {
+			delete(m.byLife, e.Incarnation)
 		}
 	}
 }
 
 // merge adds what another copy of the case knows, and reports whether that was news.
-func (c *Case) merge(in *Case) bool {
+func (c *Record) merge(in *Record) bool {
 	news := false
-	for _, e := range in.Ends {
+	for _, e := range in.Crashes {
 		news = c.addEnd(e) || news
 	}
-	if in.Trials > c.Trials {
-		c.Trials, news = in.Trials, true
-		c.TriedAt = in.TriedAt
+	if in.Probes > c.Probes {
+		c.Probes, news = in.Probes, true
+		c.ProbedAt = in.ProbedAt
 	}
-	if in.Returned > c.Returned || in.Reopened > c.Reopened {
-		c.Returned, c.Reopened, news = max(c.Returned, in.Returned), max(c.Reopened, in.Reopened), true
+	if in.Returned > c.Returned || in.LastReturned > c.LastReturned {
+		c.Returned, c.LastReturned, news = max(c.Returned, in.Returned), max(c.LastReturned, in.LastReturned), true
 	}
 	for _, s := range in.Software {
 		if !slices.Contains(c.Software, s) && len(c.Software) < mostSoftware {
@@ -185,14 +185,14 @@
 	return news
 }
 
-func (c *Case) addEnd(e End) bool {
-	i := slices.IndexFunc(c.Ends, e.Same)
+func (c *Record) addEnd(e Crash) bool {
+	i := slices.IndexFunc(c.Crashes, e.Same)
 	if i >= 0 {
-		have := &c.Ends[i]
-		news := e.Forgiven && !have.Forgiven || e.Served && !have.Served || have.Doubtful && !e.Doubtful || e.Order < have.Order
-		have.Served = have.Served || e.Served
+		have := &c.Crashes[i]
+		news := e.Cleared && !have.Cleared || e.ServedBefore && !have.ServedBefore || have.Doubtful && !e.Doubtful || e.Order < have.Order
+		have.ServedBefore = have.ServedBefore || e.ServedBefore
 		have.Order = min(have.Order, e.Order)
-		have.Forgiven = have.Forgiven || e.Forgiven
+		have.Cleared = have.Cleared || e.Cleared
 		have.Doubtful = have.Doubtful && e.Doubtful
 		if attempts := mergeAttempts(have.Attempts, e.Attempts); !slices.Equal(attempts, have.Attempts) {
 			have.Attempts, news = attempts, true
@@ -200,12 +200,12 @@
 		return news
 	}
 	e.Attempts = mergeAttempts(nil, e.Attempts)
-	if len(c.Ends) >= mostEnds && compareEnds(e, c.Ends[0]) < 0 {
+	if len(c.Crashes) >= mostEnds && compareEnds(e, c.Crashes[0]) < 0 {
 		return false
 	}
-	c.Ends = append(c.Ends, e)
-	slices.SortFunc(c.Ends, compareEnds)
-	c.Ends = c.Ends[max(0, len(c.Ends)-mostEnds):]
+	c.Crashes = append(c.Crashes, e)
+	slices.SortFunc(c.Crashes, compareEnds)
+	c.Crashes = c.Crashes[max(0, len(c.Crashes)-mostEnds):]
 	return true
 }
 
@@ -221,24 +221,24 @@
 	return all[:min(mostAttempts, len(all))]
 }
 
-func compareEnds(a, b End) int {
-	return cmp.Or(cmp.Compare(a.Order, b.Order), cmp.Compare(a.Life.ID, b.Life.ID), cmp.Compare(a.Life.Born, b.Life.Born))
+func compareEnds(a, b Crash) int {
+	return cmp.Or(cmp.Compare(a.Order, b.Order), cmp.Compare(a.Incarnation.ID, b.Incarnation.ID), cmp.Compare(a.Incarnation.StartUnixMs, b.Incarnation.StartUnixMs))
 }
 
 // endsLeft returns the ends that still count, doubtful ones as well.
-func (c *Case) endsLeft() int {
+func (c *Record) endsLeft() int {
 	n := 0
-	for _, e := range c.Ends {
-		if !e.Forgiven {
+	for _, e := range c.Crashes {
+		if !e.Cleared {
 			n++
 		}
 	}
 	return n
 }
 
-func (c *Case) lastEnd() time.Time {
+func (c *Record) lastEnd() time.Time {
 	at := time.Time{}
-	for _, e := range c.Ends {
+	for _, e := range c.Crashes {
 		if e.At.After(at) {
 			at = e.At
 		}
@@ -247,10 +247,10 @@
 }
 
 // judge judges a case that has changed, and those that ran beside it.
-func (m *Machine) judge(c *Case) {
+func (m *Machine) judge(c *Record) {
 	beside := map[protocol.Fingerprint]bool{c.Fingerprint: true}
-	for _, e := range c.Ends {
-		maps.Copy(beside, m.byLife[e.Life])
+	for _, e := range c.Crashes {
+		maps.Copy(beside, m.byLife[e.Incarnation])
 	}
 	for print := range beside {
 		m.judgeOne(print)
@@ -272,7 +272,7 @@
 // Expire forgets cases in which nothing has happened for long.
 func (m *Machine) Expire(now time.Time) {
 	for print, c := range m.cases {
-		if now.Sub(c.last()) > Remember {
+		if now.Sub(c.last()) > Retention {
 			m.forget(print)
 		}
 	}
@@ -301,18 +301,18 @@
 
 // byWorth returns all cases: those held back first, then by ends that count, then the
 // latest first.
-func (m *Machine) byWorth() []*Case {
-	list := make([]*Case, 0, len(m.cases))
+func (m *Machine) byWorth() []*Record {
+	list := make([]*Record, 0, len(m.cases))
 	for _, c := range m.cases {
 		list = append(list, c)
 	}
-	rank := func(c *Case) int {
+	rank := func(c *Record) int {
 		if m.held[c.Fingerprint].Held() {
 			return mostEnds + 1
 		}
 		return c.endsLeft()
 	}
-	slices.SortFunc(list, func(a, b *Case) int {
+	slices.SortFunc(list, func(a, b *Record) int {
 		return cmp.Or(cmp.Compare(rank(b), rank(a)), b.last().Compare(a.last()), bytes.Compare(a.Fingerprint[:], b.Fingerprint[:]))
 	})
 	return list
@@ -320,9 +320,9 @@
 
 // News returns cases that others may not know, MostTold at most, once; more says that there
 // are further ones.
-func (m *Machine) News() (list []Case, more bool) {
+func (m *Machine) TakePending() (list []Record, more bool) {
 	for print := range m.news {
-		if len(list) == MostTold {
+		if len(list) == MaxPerMessage {
 			return list, true
 		}
 		list = append(list, m.cases[print].clone())
@@ -332,17 +332,17 @@
 }
 
 // HasNews reports whether News would return something.
-func (m *Machine) HasNews() bool { return len(m.news) > 0 }
+func (m *Machine) HasPending() bool { return len(m.news) > 0 }
 
 // Turned returns the requests that are held back since the last call, or no more.
-func (m *Machine) Turned() []Standing {
-	var list []Standing
+func (m *Machine) TakeChanged() []Assessment {
+	var list []Assessment
 	for print := range m.turned {
 		s, held := m.held[print]
 		if !held {
-			s.Case.Fingerprint = print
+			s.Record.Fingerprint = print
 			if c := m.cases[print]; c != nil {
-				s.Case = c.clone()
+				s.Record = c.clone()
 			}
 		}
 		list = append(list, s)
@@ -352,28 +352,28 @@
 }
 
 // Held returns the requests that are held back. The map is a copy.
-func (m *Machine) Held() map[protocol.Fingerprint]Standing {
+func (m *Machine) Held() map[protocol.Fingerprint]Assessment {
 	return maps.Clone(m.held)
 }
 
 // Cases returns the number of cases.
-func (m *Machine) Cases() int { return len(m.cases) }
+func (m *Machine) Len() int { return len(m.cases) }
 
 // Known returns the case of a request, if there is one.
-func (m *Machine) Known(print protocol.Fingerprint) (Case, bool) {
+func (m *Machine) Lookup(print protocol.Fingerprint) (Record, bool) {
 	c := m.cases[print]
 	if c == nil {
-		return Case{}, false
+		return Record{}, false
 	}
 	return c.clone(), true
 }
 
 // All returns the cases that weigh most, MostTold at most: a daemon that has just started
 // asks for them.
-func (m *Machine) All() []Case {
+func (m *Machine) Top() []Record {
 	list := m.byWorth()
-	out := make([]Case, 0, min(MostTold, len(list)))
-	for _, c := range list[:min(MostTold, len(list))] {
+	out := make([]Record, 0, min(MaxPerMessage, len(list)))
+	for _, c := range list[:min(MaxPerMessage, len(list))] {
 		out = append(out, c.clone())
 	}
 	return out
@@ -390,7 +390,7 @@
 }
 
 // DigestOf names cases as Machine.Digest does.
-func DigestOf(cases []Case) uint64 {
+func DigestOf(cases []Record) uint64 {
 	var digest uint64
 	for i := range cases {
 		digest += cases[i].digest()
@@ -398,31 +398,31 @@
 	return digest
 }
 
-func (c *Case) digest() uint64 {
-	digest := xxhash.Sum64(c.Fingerprint[:]) * uint64(2*c.Trials+1)
-	digest += xxhash.Sum64(c.Fingerprint[8:]) * uint64(c.Returned+c.Reopened<<16)
-	for _, e := range c.Ends {
+func (c *Record) digest() uint64 {
+	digest := xxhash.Sum64(c.Fingerprint[:]) * uint64(2*c.Probes+1)
+	digest += xxhash.Sum64(c.Fingerprint[8:]) * uint64(c.Returned+c.LastReturned<<16)
+	for _, e := range c.Crashes {
 		digest += endDigest(c.Fingerprint, e)
 	}
 	return digest
 }
 
-func endDigest(print protocol.Fingerprint, e End) uint64 {
+func endDigest(print protocol.Fingerprint, e Crash) uint64 {
 	h := xxhash.New()
 	var state [9]byte
-	binary.LittleEndian.PutUint64(state[:], uint64(e.Life.Born))
-	if e.Forgiven {
+	binary.LittleEndian.PutUint64(state[:], uint64(e.Incarnation.StartUnixMs))
+	if e.Cleared {
 		state[8] |= 1
 	}
 	if e.Doubtful {
 		state[8] |= 2
 	}
-	if e.Served {
+	if e.ServedBefore {
 		state[8] |= 4
 	}
-	_, _ = h.Write(print[:])        // never fails
-	_, _ = h.WriteString(e.Life.ID) // never fails
-	_, _ = h.Write(state[:])        // never fails
+	_, _ = h.Write(print[:])               // never fails
+	_, _ = h.WriteString(e.Incarnation.ID) // never fails
+	_, _ = h.Write(state[:])               // never fails
 	for _, tag := range e.Attempts {
 		binary.LittleEndian.PutUint32(state[:], tag)
 		_, _ = h.Write(state[:4]) // never fails
--- a/coordination/quarantine/quarantine_test.go
+++ b/coordination/quarantine/quarantine_test.go
@@ -28,8 +28,8 @@
 
 func at(s float64) time.Time { return start.Add(time.Duration(s * float64(time.Second))) }
 
-func (s seen) report() Report {
-	return Report{Fingerprint: printOf(s.request), Software: v1, End: End{Life: fleet.Incarnation{ID: s.life}, Sent: at(s.sent), At: at(s.at), Order: at(s.at).UnixMilli(), Doubtful: s.began, Attempts: s.attempts()}}
+func (s seen) report() CrashedAttempt {
+	return CrashedAttempt{Fingerprint: printOf(s.request), Software: v1, Crash: Crash{Incarnation: fleet.Incarnation{ID: s.life}, Sent: at(s.sent), At: at(s.at), Order: at(s.at).UnixMilli(), Doubtful: s.began, Attempts: s.attempts()}}
 }
 
 // attempts tags the attempt by when it was sent: told again, it is the same one.
@@ -43,7 +43,7 @@
 func after(list ...seen) *Machine {
 	m := New()
 	for _, s := range list {
-		m.Ended(at(s.at), s.report())
+		m.ObserveCrash(at(s.at), s.report())
 	}
 	return m
 }
@@ -89,7 +89,7 @@
 			held := m.Held()
 			for _, s := range c.seen {
 				if _, is := held[printOf(s.request)]; is != want[printOf(s.request)] {
-					t.Errorf("%s: held back %v, blame %d", s.request, is, m.standing(m.cases[printOf(s.request)]).Blame)
+					t.Errorf("%s: held back %v, blame %d", s.request, is, m.standing(m.cases[printOf(s.request)]).Suspicion)
 				}
 			}
 		})
@@ -102,14 +102,14 @@
 	m := after(crasher...)
 	print, trials := printOf("bad"), []float64{}
 	for s := 3.2; s < 3600; s += 0.25 {
-		if !m.Trial(at(s), print, v1) {
+		if !m.GrantProbe(at(s), print, v1) {
 			continue
 		}
-		if m.Trial(at(s), print, v1) {
+		if m.GrantProbe(at(s), print, v1) {
 			t.Fatal("a second one went through with it")
 		}
 		trials = append(trials, s)
-		m.Ended(at(s+0.1), seen{"bad", fmt.Sprint("t", s), s, s + 0.1, false}.report())
+		m.ObserveCrash(at(s+0.1), seen{"bad", fmt.Sprint("t", s), s, s + 0.1, false}.report())
 	}
 	if len(trials) < 4 || trials[0] < 60 || trials[1] > 600 || trials[2] < 600 {
 		t.Fatalf("trials at %v s", trials)
@@ -120,15 +120,15 @@
 	m := after(crasher...)
 	print := printOf("bad")
 	switch {
-	case m.Trial(at(4), print, v1):
+	case m.GrantProbe(at(4), print, v1):
 		t.Fatal("the same software was tried at once")
-	case !m.Trial(at(4), print, v2):
+	case !m.GrantProbe(at(4), print, v2):
 		t.Fatal("a new version was not tried")
-	case m.Trial(at(5), print, v2):
+	case m.GrantProbe(at(5), print, v2):
 		t.Fatal("it was tried twice")
-	case !m.Trial(at(6), print, SoftwareOf("next")) || !m.Trial(at(6), print, SoftwareOf("last")):
+	case !m.GrantProbe(at(6), print, SoftwareOf("next")) || !m.GrantProbe(at(6), print, SoftwareOf("last")):
 		t.Fatal("a new service was not tried")
-	case m.Trial(at(7), print, SoftwareOf("one more")):
+	case m.GrantProbe(at(7), print, SoftwareOf("one more")):
 		t.Fatal("software that changes again and again was tried each time")
 	}
 }
@@ -136,22 +136,22 @@
 func TestServedRequestsAreForgiven(t *testing.T) {
 	m := after(crasher...)
 	print := printOf("bad")
-	m.Served(at(4), print, at(2.5)) // sent before the last end
+	m.ObserveSuccess(at(4), print, at(2.5)) // sent before the last end
 	if len(m.Held()) != 0 {
 		t.Fatal("an answer did not make up for an end")
 	}
-	m.Ended(at(5.1), seen{"bad", "e4", 5, 5.1, false}.report())
+	m.ObserveCrash(at(5.1), seen{"bad", "e4", 5, 5.1, false}.report())
 	if len(m.Held()) != 1 {
 		t.Fatal("an answer made up for more than one end")
 	}
-	if !m.Trial(at(70), print, v1) {
+	if !m.GrantProbe(at(70), print, v1) {
 		t.Fatal("no trial")
 	}
-	m.Served(at(71), print, at(70))
+	m.ObserveSuccess(at(71), print, at(70))
 	if len(m.Held()) != 0 || m.cases[print].endsLeft() != 0 {
 		t.Fatal("it passed its trial and is held back")
 	}
-	m.Merge(at(42), []Case{{Fingerprint: print, Ends: []End{crasher[0].report().End}}})
+	m.Merge(at(42), []Record{{Fingerprint: print, Crashes: []Crash{crasher[0].report().Crash}}})
 	if m.cases[print].endsLeft() != 0 {
 		t.Fatal("another daemon's older word undid it")
 	}
@@ -162,12 +162,12 @@
 	m := New()
 	for i := range 40 {
 		s := float64(i)
-		m.Ended(at(s+0.1), seen{"bad", fmt.Sprint("a", i), s, s + 0.1, false}.report())
-		m.Ended(at(s+0.3), seen{"bad", fmt.Sprint("b", i), s + 0.2, s + 0.3, false}.report())
+		m.ObserveCrash(at(s+0.1), seen{"bad", fmt.Sprint("a", i), s, s + 0.1, false}.report())
+		m.ObserveCrash(at(s+0.3), seen{"bad", fmt.Sprint("b", i), s + 0.2, s + 0.3, false}.report())
 		if len(m.Held()) == 1 {
 			return
 		}
-		m.Served(at(s+0.5), printOf("bad"), at(s+0.4))
+		m.ObserveSuccess(at(s+0.5), printOf("bad"), at(s+0.4))
 	}
 	t.Fatal("never held back")
 }
@@ -178,30 +178,30 @@
 	m := after(crasher...)
 	for i := range 5 * mostCases {
 		s := 4 + float64(i)/100
-		m.Ended(at(s), seen{fmt.Sprint("flood", i), fmt.Sprint("f", i), s - 0.1, s, false}.report())
+		m.ObserveCrash(at(s), seen{fmt.Sprint("flood", i), fmt.Sprint("f", i), s - 0.1, s, false}.report())
 	}
-	if m.Cases() > mostCases || len(m.byLife) > mostCases*mostEnds {
-		t.Fatalf("%d cases, %d lives", m.Cases(), len(m.byLife))
+	if m.Len() > mostCases || len(m.byLife) > mostCases*mostEnds {
+		t.Fatalf("%d cases, %d lives", m.Len(), len(m.byLife))
 	}
 	if !m.held[printOf("bad")].Held() {
 		t.Fatal("the request that is held back was forgotten")
 	}
-	if news, more := m.News(); len(news) != MostTold || !more {
+	if news, more := m.TakePending(); len(news) != MaxPerMessage || !more {
 		t.Fatalf("%d cases in one message, more: %v", len(news), more)
 	}
-	if all := m.All(); len(all) != MostTold || all[0].Fingerprint != printOf("bad") {
+	if all := m.Top(); len(all) != MaxPerMessage || all[0].Fingerprint != printOf("bad") {
 		t.Fatalf("a daemon that starts is told %d cases, not the one that is held back first", len(all))
 	}
 }
 
 func TestCasesAreForgotten(t *testing.T) {
 	m := after(crasher...)
-	m.Expire(at(3.2).Add(Remember))
-	if m.Cases() != 0 || len(m.Held()) != 0 || len(m.byLife) != 0 {
+	m.Expire(at(3.2).Add(Retention))
+	if m.Len() != 0 || len(m.Held()) != 0 || len(m.byLife) != 0 {
 		t.Fatal("something is left")
 	}
-	m.Merge(at(3.2).Add(Remember), []Case{{Fingerprint: printOf("bad"), Ends: []End{crasher[0].report().End}}})
-	if m.Cases() != 0 {
+	m.Merge(at(3.2).Add(Retention), []Record{{Fingerprint: printOf("bad"), Crashes: []Crash{crasher[0].report().Crash}}})
+	if m.Len() != 0 {
 		t.Fatal("it came back")
 	}
 }
--- a/coordination/quarantine/types.go
+++ b/coordination/quarantine/types.go
@@ -47,7 +47,7 @@
 	holdMost   = 30 * time.Minute
 	// Remember is how long a case is kept after the last thing that happened in it;
 	// longer than the longest hold, so that it ends by a trial and not by forgetting.
-	Remember = time.Hour
+	Retention = time.Hour
 
 	// mostCases bounds the memory: at some 200 bytes, half a megabyte. Of a flood of
 	// requests that each end one endpoint, the cases with the least blame go first, of
@@ -59,7 +59,7 @@
 	// mostSoftware bounds how often new software alone is a reason for a trial.
 	mostSoftware = 4
 	// MostTold bounds the cases of one message, at some 100 bytes each.
-	MostTold = 256
+	MaxPerMessage = 256
 )
 
 // Software names what a request runs on: a new version of it may bear what the last one
@@ -72,112 +72,112 @@
 }
 
 // End is one life of an endpoint that ended while it worked on a request.
-type End struct {
-	Life fleet.Incarnation
+type Crash struct {
+	Incarnation fleet.Incarnation
 	// Doubtful ends are less likely the request's doing: events of the answer had come, so
 	// that the endpoint had lived through beginning it.
 	Doubtful bool
 	// Served ends are so too: some daemon, also one that saw nothing of the end, had served
 	// the same request shortly before. A popular request is known by that.
-	Served bool
-	Sent   time.Time // when the request was sent there
-	At     time.Time
+	ServedBefore bool
+	Sent         time.Time // when the request was sent there
+	At           time.Time
 	// Order is the Unix time in milliseconds, by the clock of the daemon that saw it
 	// first. Unlike At it is the same for all daemons, so that all drop the same ends.
 	Order int64
 	// Forgiven ends count no more: the request has been served since.
-	Forgiven bool
+	Cleared bool
 	// Attempts are the attempts of the request that ended with the life, at whichever
 	// daemons, each by a tag of its own; none that are doubtful. It is never changed in place.
 	Attempts []uint32
 }
 
 // doubtful reports whether an end counts in part only.
-func (e End) doubtful() bool { return e.Doubtful || e.Served }
+func (e Crash) doubtful() bool { return e.Doubtful || e.ServedBefore }
 
 // AttemptTag returns the tag of an attempt that a caller has made under some id.
 func AttemptTag(requestID string) uint32 { return uint32(xxhash.Sum64String(requestID)) }
 
 // Same reports whether both tell of the same life of an endpoint. Where lives of one id are
 // not told apart, ends that are further apart than daemons' clocks are of two lives.
-func (e End) Same(other End) bool {
-	if !e.Life.Same(other.Life) {
+func (e Crash) Same(other Crash) bool {
+	if !e.Incarnation.Matches(other.Incarnation) {
 		return false
 	}
-	told := e.Life.Born != 0 && other.Life.Born != 0
+	told := e.Incarnation.StartUnixMs != 0 && other.Incarnation.StartUnixMs != 0
 	apart := e.Order - other.Order
 	return told || max(apart, -apart) < sameEnd.Milliseconds()
 }
 
 // Case is what is known of one request.
-type Case struct {
+type Record struct {
 	Fingerprint protocol.Fingerprint
-	Ends        []End // in order
-	Trials      int   // let through while it was held back
-	TriedAt     time.Time
+	Crashes     []Crash // in order
+	Probes      int     // let through while it was held back
+	ProbedAt    time.Time
 	Software    []Software // on which it has ended endpoints or was tried
 	// Returned is the number of trials that reached no endpoint and were given back, and
 	// Reopened the number of the last of them. While that one is the last trial of all, the
 	// next is due at once. Both only rise.
-	Returned, Reopened int
+	Returned, LastReturned int
 }
 
 // Standing is what follows from a case.
-type Standing struct {
-	Case  Case // not to be changed
-	Blame int
-	Due   time.Time // of the next trial; zero for a request that is not held back
+type Assessment struct {
+	Record    Record // not to be changed
+	Suspicion int
+	NextProbe time.Time // of the next trial; zero for a request that is not held back
 }
 
 // Held reports whether the request is held back.
-func (s Standing) Held() bool { return !s.Due.IsZero() }
+func (s Assessment) Held() bool { return !s.NextProbe.IsZero() }
 
 // Tried reports whether the request has had its chance on this software.
-func (s Standing) Tried(on Software) bool {
-	return len(s.Case.Software) >= mostSoftware || slices.Contains(s.Case.Software, on)
+func (s Assessment) ProbedOn(on Software) bool {
+	return len(s.Record.Software) >= mostSoftware || slices.Contains(s.Record.Software, on)
 }
 
 // TrialDue reports whether a trial may go through.
-func (s Standing) TrialDue(now time.Time, on Software) bool {
-	return s.Held() && (!now.Before(s.Due) || !s.Tried(on))
+func (s Assessment) ProbeDue(now time.Time, on Software) bool {
+	return s.Held() && (!now.Before(s.NextProbe) || !s.ProbedOn(on))
 }
 
 // Lives returns the endpoints that ended and still count, for logs.
-func (s Standing) Lives() []string {
+func (s Assessment) CrashedEndpoints() []string {
 	var list []string
-	for _, e := range s.Case.Ends {
-		if !e.Forgiven {
-			list = append(list, e.Life.ID)
+	for _, e := range s.Record.Crashes {
+		if !e.Cleared {
+			list = append(list, e.Incarnation.ID)
 		}
 	}
 	return list
 }
 
 // Last returns when something happened in the case last.
-func (s Standing) Last() time.Time { return s.Case.last() }
+func (s Assessment) LastActivity() time.Time { return s.Record.last() }
 
 // due returns when the next trial of a case that is held back is due.
-func (c *Case) due() time.Time {
-	reopened := c.Trials > 0 && c.Reopened == c.Trials
-	if reopened && !c.lastEnd().After(c.TriedAt) {
-		return c.TriedAt
+func (c *Record) due() time.Time {
+	reopened := c.Probes > 0 && c.LastReturned == c.Probes
+	if reopened && !c.lastEnd().After(c.ProbedAt) {
+		return c.ProbedAt
 	}
-	return c.last().Add(holdFor(c.Trials - c.Returned))
+	return c.last().Add(holdFor(c.Probes - c.Returned))
 }
 
 // last returns when something happened in a case last.
-func (c *Case) last() time.Time {
-	if end := c.lastEnd(); end.After(c.TriedAt) {
+func (c *Record) last() time.Time {
+	if end := c.lastEnd(); end.After(c.ProbedAt) {
 		return end
 	}
-	return c.TriedAt
+	return c.ProbedAt
 }
 
 // wholeEnds returns the whole ends that still count, whatever else ran there.
-func (c *Case) wholeEnds() int {
+func (c *Record) wholeEnds() int {
 	n := 0
-	for _, e := range c.Ends {
-		if !e.Forgiven && !e.doubtful() {
+	for _, e := range c.Crashes {
+		if !e.Cleared && !e.doubtful() {
 			n++
 		}
 	}
@@ -185,8 +185,8 @@
 }
 
 // clone returns a copy that shares nothing.
-func (c *Case) clone() Case {
+func (c *Record) clone() Record {
 	out := *c
-	out.Ends, out.Software = slices.Clone(c.Ends), slices.Clone(c.Software)
+	out.Crashes, out.Software = slices.Clone(c.Crashes), slices.Clone(c.Software)
 	return out
 }
--- a/coordination/quota/client.go
+++ b/coordination/quota/client.go
@@ -9,7 +9,7 @@
 const (
 	Admit Verdict = iota
 	// Ask: the owner has to be asked first.
-	Ask
+	AskOwner
 	// Refuse: the subject is over its limits.
 	Refuse
 )
@@ -98,7 +98,7 @@
 func (a *account) pay(now time.Time, units float64) {
 	a.lapse(now)
 	a.paid += units
-	a.paidUntil = now.Add(AheadLife)
+	a.paidUntil = now.Add(AllowanceLifetime)
 }
 
 // Offer notes that a caller asks for something. It is called once for each request.
@@ -134,13 +134,13 @@
 	case now.Before(a.askFrom):
 		return Refuse
 	}
-	return Ask
+	return AskOwner
 }
 
 // Refused notes a refusal, and returns when its caller is to come back: after those that were
 // refused before it, at the rate at which the quota has room for them. While new requests
 // alone are too many it has none for any: then a window later.
-func (c *Client) Refused(now time.Time, subject string, cost float64) time.Duration {
+func (c *Client) AddRefusal(now time.Time, subject string, cost float64) time.Duration {
 	a := c.account(subject)
 	if a.spare <= 0 {
 		a.backlog, a.backlogAt = 0, now
@@ -170,16 +170,16 @@
 }
 
 // RoomIn returns the time until there is room for one more request, by the owner's last word.
-func (c *Client) RoomIn(now time.Time, subject string) time.Duration {
+func (c *Client) RetryAfter(now time.Time, subject string) time.Duration {
 	return max(0, c.account(subject).roomAt.Sub(now))
 }
 
 // Part returns the part of the rate, in units a second, that this daemon may count on, by the
 // owner's last word.
-func (c *Client) Part(subject string) float64 { return c.account(subject).part }
+func (c *Client) RateShare(subject string) float64 { return c.account(subject).part }
 
 // Forget drops what is known of subjects that nobody has sent for in a long time.
-func (c *Client) Forget(now time.Time) {
+func (c *Client) Expire(now time.Time) {
 	for subject, a := range c.accounts {
 		if now.Sub(a.usedAt) > idleAfter {
 			delete(c.accounts, subject)
@@ -188,17 +188,17 @@
 }
 
 // Return takes back what a request was let through with that has not run.
-func (c *Client) Return(now time.Time, subject string, cost float64) {
+func (c *Client) Refund(now time.Time, subject string, cost float64) {
 	a := c.account(subject)
 	a.pay(now, cost)
 }
 
 // Begin returns the question to an owner, for requests that wait.
-func (c *Client) Begin(now time.Time, subject, owner string, l Limits, need float64, waiting int) Draw {
+func (c *Client) BeginDraw(now time.Time, subject, owner string, l Limits, need float64, waiting int) Draw {
 	a := c.account(subject)
 	d := Draw{Daemon: c.self, Subject: subject, Limits: l, Need: need, Waiting: waiting, Used: a.used, Offered: a.offered, Requests: a.requests}
-	d.Elsewhere = a.elsewhere(now, owner, c.backMost)
-	d.Inform = a.summaryOf != owner || now.Sub(a.summaryAt) > informEvery
+	d.OtherGrants = a.elsewhere(now, owner, c.backMost)
+	d.WantSummary = a.summaryOf != owner || now.Sub(a.summaryAt) > informEvery
 	if a.summary != nil && a.summaryOf != owner {
 		told := *a.summary
 		told.Owner, told.Age = a.summaryOf, now.Sub(a.summaryAt)
@@ -210,16 +210,16 @@
 }
 
 // Granted takes the answer to the last question.
-func (c *Client) Granted(now time.Time, subject, owner string, g Grant) {
+func (c *Client) ReceiveGrant(now time.Time, subject, owner string, g Grant) {
 	a := c.account(subject)
 	a.pay(now, g.Units)
-	a.ahead, a.until = g.Ahead, a.sentAt.Add(AheadLife) // no later than by the owner's clock
-	a.spare, a.part = g.Spare, g.Part
+	a.ahead, a.until = g.Allowance, a.sentAt.Add(AllowanceLifetime) // no later than by the owner's clock
+	a.spare, a.part = g.SpareRate, g.RateShare
 	a.fullUntil = time.Time{}
-	if g.Over && g.Spare <= 0 {
+	if g.NearLimit && g.SpareRate <= 0 {
 		a.fullUntil = now.Add(fullFor)
 	}
-	a.askFrom, a.roomAt = now.Add(g.Again), now.Add(g.RoomIn)
+	a.askFrom, a.roomAt = now.Add(g.NextDrawIn), now.Add(g.RetryAfter)
 	if g.Summary != nil {
 		a.summary, a.summaryOf, a.summaryAt = g.Summary, owner, a.sentAt
 	}
@@ -240,18 +240,18 @@
 }
 
 // elsewhere returns what other owners have given within the window.
-func (a *account) elsewhere(now time.Time, owner string, window time.Duration) []Past {
-	var list []Past
+func (a *account) elsewhere(now time.Time, owner string, window time.Duration) []PastGrant {
+	var list []PastGrant
 	for _, p := range a.past {
 		if p.owner != owner && p.units > 0 && now.Sub(p.at) < window {
-			list = append(list, Past{Owner: p.owner, Age: now.Sub(p.at), Units: p.units})
+			list = append(list, PastGrant{Owner: p.owner, Age: now.Sub(p.at), Units: p.units})
 		}
 	}
 	return list
 }
 
 // Share returns what part of a subject's quota this daemon has got lately.
-func (c *Client) Share(now time.Time, subject string, sustained float64) float64 {
+func (c *Client) RecentShare(now time.Time, subject string, sustained float64) float64 {
 	sum := 0.0
 	for _, p := range c.account(subject).past {
 		if now.Sub(p.at) < latelyOver {
@@ -262,7 +262,7 @@
 }
 
 // Failed takes it that the last question was not answered: what it told is told again.
-func (c *Client) Failed(subject string) {
+func (c *Client) DrawFailed(subject string) {
 	a := c.account(subject)
 	a.used += a.sent.Used
 	a.offered += a.sent.Offered
--- a/coordination/quota/owner.go
+++ b/coordination/quota/owner.go
@@ -79,20 +79,20 @@
 	b.sweep(now)
 	s := b.share(d.Daemon)
 	o.account(now, b, s, d)
-	g := Grant{Over: true}
+	g := Grant{NearLimit: true}
 	if !b.outranked(now, d.Rank) {
 		g = o.grant(now, b, s, d, l, part*o.bounds.over(d.Limits))
-		g.Part = rate * b.shareOf(now, s)
+		g.RateShare = rate * b.shareOf(now, s)
 	}
 	if g.Units < d.Need {
 		b.scarce[d.Rank] = now
 	}
-	g.RoomIn = max(g.Again, o.roomIn(now, b, d, l, part*o.bounds.over(d.Limits)))
+	g.RetryAfter = max(g.NextDrawIn, o.roomIn(now, b, d, l, part*o.bounds.over(d.Limits)))
 	b.noteHead(now, d, g)
-	if g.Units > 0 || g.Ahead > 0 {
+	if g.Units > 0 || g.Allowance > 0 {
 		b.granted = now
 	}
-	if d.Inform {
+	if d.WantSummary {
 		locked := o.locked(now, b, l, o.bounds.depth(l), startPart*part*o.bounds.over(d.Limits))
 		g.Summary = &Summary{Level: b.level - locked, Used: b.window.parts(now)}
 	}
@@ -109,23 +109,23 @@
 	if held >= tightLevel*depth && (room >= tightLevel*startPart*slack || !pressed) {
 		g := Grant{Units: b.take(now, d, room, depth)}
 		if !pressed {
-			g.Ahead = b.authorize(now, s, aheadPart*(left+b.ahead))
+			g.Allowance = b.authorize(now, s, aheadPart*(left+b.ahead))
 		}
 		return g
 	}
 	mine := s.demand.rate(now) / max(b.totalDemand(now), 1)
-	g := Grant{Over: true, Spare: b.spare(now, rate) * mine}
-	if g.Again = b.pace(now); g.Again == 0 {
+	g := Grant{NearLimit: true, SpareRate: b.spare(now, rate) * mine}
+	if g.NextDrawIn = b.pace(now); g.NextDrawIn == 0 {
 		g.Units = b.take(now, d, room, depth)
 		return g
 	}
 	surplus := max(0, room) / surplusPer.Seconds()
 	each := (rate + surplus) * mine // a second
-	if each*AheadLife.Seconds() < d.each() {
+	if each*AllowanceLifetime.Seconds() < d.each() {
 		g.Units = b.take(now, d, room, depth) // its part would lapse before it is a request
 		return g
 	}
-	g.Units = max(0, min(each*g.Again.Seconds(), room))
+	g.Units = max(0, min(each*g.NextDrawIn.Seconds(), room))
 	b.spend(now, g.Units)
 	return g
 }
@@ -180,7 +180,7 @@
 	}
 	if age := now.Sub(o.started); age < o.bounds.Window {
 		unused := l.Rate * b.since.Sub(o.started).Seconds() // before anybody asked
-		young := o.bounds.Young * start / startPart
+		young := o.bounds.NewOwnerShare * start / startPart
 		start = min(start, young*age.Seconds()/o.bounds.Window.Seconds()+unused)
 	}
 	return max(0, depth-start)
@@ -246,7 +246,7 @@
 }
 
 // first returns the first of the requests of a draw as one that waits.
-func (d *Draw) first(now time.Time) head { return head{rank: d.Rank, deadline: now.Add(d.Left)} }
+func (d *Draw) first(now time.Time) head { return head{rank: d.Rank, deadline: now.Add(d.TimeLeft)} }
 
 // noteHead remembers a request that goes on waiting after a grant. A daemon lets no request ask
 // before one of its own that comes first: that one does not wait any more.
@@ -255,8 +255,8 @@
 	if d.Need <= 0 || g.Units >= d.Need || b.heads[d.Daemon].before(first) {
 		delete(b.heads, d.Daemon)
 	}
-	if d.Waits && g.Units < d.Need {
-		first.until = now.Add(g.RoomIn + headSlack)
+	if d.Queued && g.Units < d.Need {
+		first.until = now.Add(g.RetryAfter + headSlack)
 		b.heads[d.Daemon] = first
 	}
 }
@@ -270,7 +270,7 @@
 // sweep ends what was authorized ahead and has run out: the window takes it to have been used,
 // until its daemon says otherwise.
 func (b *bucket) sweep(now time.Time) {
-	if now.Sub(b.swept) < AheadLife/4 {
+	if now.Sub(b.swept) < AllowanceLifetime/4 {
 		return
 	}
 	b.swept = now
@@ -303,7 +303,7 @@
 	b.ahead -= s.ahead
 	s.lapsed, s.ahead = 0, 0
 	heard := s.heard
-	for _, p := range d.Elsewhere {
+	for _, p := range d.OtherGrants {
 		at := now.Add(-p.Age)
 		if p.Owner == o.self || !at.After(b.informed) || !at.After(heard.Add(sameTime)) {
 			continue
@@ -362,7 +362,7 @@
 	if wanted < leastAhead*each {
 		return 0
 	}
-	s.ahead, s.until = wanted, now.Add(AheadLife)
+	s.ahead, s.until = wanted, now.Add(AllowanceLifetime)
 	b.ahead += wanted
 	return wanted
 }
@@ -396,16 +396,16 @@
 
 // View is how a bucket stands, for people.
 type View struct {
-	Level    float64 `json:"level"`
-	Demand   float64 `json:"demand"`    // units a second that callers ask for at all daemons
-	Window   float64 `json:"in_window"` // units that went through in the present window
-	Ahead    float64 `json:"ahead"`     // units that daemons may let through without asking
-	Daemons  int     `json:"daemons"`   // that have drawn lately
-	Informed bool    `json:"informed"`  // of what an owner before gave
+	Level     float64 `json:"level"`
+	Demand    float64 `json:"demand"`    // units a second that callers ask for at all daemons
+	Window    float64 `json:"in_window"` // units that went through in the present window
+	Allowance float64 `json:"ahead"`     // units that daemons may let through without asking
+	Daemons   int     `json:"daemons"`   // that have drawn lately
+	Informed  bool    `json:"informed"`  // of what an owner before gave
 }
 
 // Forget drops the buckets that nobody has drawn from for long.
-func (o *Owner) Forget(now time.Time) {
+func (o *Owner) Expire(now time.Time) {
 	for subject, b := range o.buckets {
 		if now.Sub(b.at) > idleAfter {
 			delete(o.buckets, subject)
@@ -422,5 +422,5 @@
 	if b.window.step > 0 {
 		b.window.move(now)
 	}
-	return View{Level: b.level, Demand: b.demand.rate(now), Window: b.window.sum, Ahead: b.ahead, Daemons: len(b.shares), Informed: !b.informed.IsZero()}, true
+	return View{Level: b.level, Demand: b.demand.rate(now), Window: b.window.sum, Allowance: b.ahead, Daemons: len(b.shares), Informed: !b.informed.IsZero()}, true
 }
--- a/coordination/quota/quota_test.go
+++ b/coordination/quota/quota_test.go
@@ -16,7 +16,7 @@
 var longAgo = start.Add(-time.Hour)
 
 var (
-	bounds = Bounds{Window: 8 * time.Second, Overage: 0.1, Slack: 1000, Young: YoungPart}
+	bounds = Bounds{Window: 8 * time.Second, Overage: 0.1, Slack: 1000, NewOwnerShare: DefaultNewOwnerShare}
 	limits = Limits{Rate: 1000, Burst: 1000}
 )
 
@@ -74,7 +74,7 @@
 func TestNextOwnerGoesOnFromTheSummary(t *testing.T) {
 	first := NewOwner("a", bounds, longAgo)
 	ask := draw("d", 100)
-	ask.Inform = true
+	ask.WantSummary = true
 	first.Draw(at(0), ask, 1)
 	drain(first, at(10), "d")
 	g := first.Draw(at(10), ask, 1)
@@ -95,7 +95,7 @@
 		}, 10.2, true, 0, 400},
 		{"what came since the summary counts", func(d *Draw) {
 			d.Summary = &Summary{Owner: "a", Age: time.Second, Level: 900, Used: []float64{100}}
-			d.Elsewhere = []Past{{Owner: "a", Age: 500 * time.Millisecond, Units: 700}}
+			d.OtherGrants = []PastGrant{{Owner: "a", Age: 500 * time.Millisecond, Units: 700}}
 		}, 10.2, true, 0, 500},
 		{"its own word tells it nothing", func(d *Draw) { d.Summary = &Summary{Owner: "b", Age: 0, Level: 900} }, 10.2, false, 1, startPart * bounds.over(limits)},
 	} {
@@ -116,7 +116,7 @@
 	o.Draw(at(0), draw("d", 1), 1)
 	for i := range 5 {
 		d := draw("d", 0)
-		d.Waiting, d.Elsewhere = 0, []Past{{Owner: "b", Age: time.Duration(i)*100*time.Millisecond + time.Second, Units: 300}, {Owner: "a", Age: time.Second, Units: 5000}}
+		d.Waiting, d.OtherGrants = 0, []PastGrant{{Owner: "b", Age: time.Duration(i)*100*time.Millisecond + time.Second, Units: 300}, {Owner: "a", Age: time.Second, Units: 5000}}
 		o.Draw(at(11+float64(i)/10), d, 1)
 	}
 	if v, _ := o.View(at(11.4), "w"); v.Window < 300 || v.Window > 310 {
@@ -132,11 +132,11 @@
 	for i := 0; ahead == 0 && i < 40; i++ {
 		now = now.Add(200 * time.Millisecond)
 		c.Offer(now, "w", 20)
-		if c.Take(now, "w", 20, false) == Ask {
-			g := o.Draw(now, c.Begin(now, "w", "a", limits, 20, 1), 1)
-			c.Granted(now, "w", "a", g)
+		if c.Take(now, "w", 20, false) == AskOwner {
+			g := o.Draw(now, c.BeginDraw(now, "w", "a", limits, 20, 1), 1)
+			c.ReceiveGrant(now, "w", "a", g)
 			c.Take(now, "w", 20, false)
-			ahead = g.Ahead
+			ahead = g.Allowance
 		}
 	}
 	if ahead < 20 {
@@ -146,13 +146,13 @@
 		t.Error("what was authorized is not let through")
 	}
 	before, _ := o.View(now, "w")
-	later := now.Add(AheadLife + 2*time.Second)
-	if c.Take(later, "w", 1, false) != Ask {
+	later := now.Add(AllowanceLifetime + 2*time.Second)
+	if c.Take(later, "w", 1, false) != AskOwner {
 		t.Error("what has run out is let through")
 	}
 	o.Draw(later, draw("other", 1), 1)
-	if v, _ := o.View(later, "w"); v.Ahead >= before.Ahead {
-		t.Errorf("%.0f is still authorized", v.Ahead)
+	if v, _ := o.View(later, "w"); v.Allowance >= before.Allowance {
+		t.Errorf("%.0f is still authorized", v.Allowance)
 	}
 }
 
@@ -160,19 +160,19 @@
 // window later where new requests alone are too many.
 func TestRefusedCallersDoNotRush(t *testing.T) {
 	c := NewClient("d", bounds)
-	c.Begin(at(0), "w", "a", limits, 100, 1)
-	c.Granted(at(0), "w", "a", Grant{Over: true, Spare: 100})
+	c.BeginDraw(at(0), "w", "a", limits, 100, 1)
+	c.ReceiveGrant(at(0), "w", "a", Grant{NearLimit: true, SpareRate: 100})
 	last := time.Duration(0)
 	for i := range 5 {
-		after := c.Refused(at(0), "w", 100)
+		after := c.AddRefusal(at(0), "w", 100)
 		if want := time.Duration(i+1) * time.Second; after != want || after <= last {
 			t.Errorf("caller %d is told %v, want %v", i, after, want)
 		}
 		last = after
 	}
-	c.Begin(at(1), "w", "a", limits, 100, 1)
-	c.Granted(at(1), "w", "a", Grant{Over: true})
-	if after := c.Refused(at(1), "w", 100); after != bounds.Window {
+	c.BeginDraw(at(1), "w", "a", limits, 100, 1)
+	c.ReceiveGrant(at(1), "w", "a", Grant{NearLimit: true})
+	if after := c.AddRefusal(at(1), "w", 100); after != bounds.Window {
 		t.Errorf("told %v while there is no room at all", after)
 	}
 }
@@ -184,11 +184,11 @@
 	refused := func(seconds float64) (longest time.Duration) {
 		for range 20 {
 			now := at(seconds)
-			d := c.Begin(now, "w", "a", limits, 200, 1)
+			d := c.BeginDraw(now, "w", "a", limits, 200, 1)
 			d.Offered, d.Requests = 200, 1
-			c.Granted(now, "w", "a", o.Draw(now, d, 1))
+			c.ReceiveGrant(now, "w", "a", o.Draw(now, d, 1))
 			if c.Take(now, "w", 200, false) != Admit {
-				longest = max(longest, c.Refused(now, "w", 200))
+				longest = max(longest, c.AddRefusal(now, "w", 200))
 			}
 		}
 		return longest
@@ -209,18 +209,18 @@
 func TestWhatCanBeInTimeGoesFirst(t *testing.T) {
 	c := NewClient("d", bounds)
 	granted := func(seconds float64, g Grant) {
-		c.Begin(at(seconds), "w", "a", limits, 100, 1)
-		c.Granted(at(seconds), "w", "a", g)
+		c.BeginDraw(at(seconds), "w", "a", limits, 100, 1)
+		c.ReceiveGrant(at(seconds), "w", "a", g)
 	}
-	granted(0, Grant{Units: 500, Over: true})
+	granted(0, Grant{Units: 500, NearLimit: true})
 	if late, fresh := c.Take(at(0.1), "w", 100, true), c.Take(at(0.1), "w", 100, false); late != Refuse || fresh != Admit {
 		t.Errorf("over the quota: late %v, in time %v", late, fresh)
 	}
-	granted(0.2, Grant{Units: 500, Over: true, Spare: 10})
+	granted(0.2, Grant{Units: 500, NearLimit: true, SpareRate: 10})
 	if late := c.Take(at(0.3), "w", 100, true); late != Admit {
 		t.Errorf("with something to spare: %v", late)
 	}
-	granted(0.4, Grant{Units: 500, Over: true})
+	granted(0.4, Grant{Units: 500, NearLimit: true})
 	if late := c.Take(at(2), "w", 100, true); late != Admit {
 		t.Errorf("long after the owner's word: %v", late)
 	}
@@ -232,7 +232,7 @@
 	paced := 0
 	for i := range 4000 {
 		g := o.Draw(at(10+float64(i)/1000), draw(fmt.Sprint("d", i%50), 10), 1)
-		if g.Again > 0 {
+		if g.NextDrawIn > 0 {
 			paced++
 		}
 	}
@@ -243,8 +243,8 @@
 
 func BenchmarkTake(b *testing.B) {
 	c := NewClient("d", bounds)
-	c.Begin(at(0), "w", "a", limits, 1, 1)
-	c.Granted(at(0), "w", "a", Grant{Units: 1e18})
+	c.BeginDraw(at(0), "w", "a", limits, 1, 1)
+	c.ReceiveGrant(at(0), "w", "a", Grant{Units: 1e18})
 	now := at(1)
 	b.ReportAllocs()
 	for b.Loop() {
@@ -272,22 +272,22 @@
 // goes to the more urgent, then to the one whose caller leaves first. One that does not ask again
 // when it was told to holds nobody back.
 func TestWaitingRequestsGoInOrderOverAllDaemons(t *testing.T) {
-	one := Bounds{Window: 4 * time.Second, Overage: 0.5, Slack: 5, Depth: 0.2}
+	one := Bounds{Window: 4 * time.Second, Overage: 0.5, Slack: 5, DepthShare: 0.2}
 	asks := func(daemon string, rank int, left time.Duration, waits bool) Draw {
-		return Draw{Daemon: daemon, Subject: "e", Limits: Limits{Rate: 1}, Need: 1, Waiting: 1, Offered: 1, Requests: 1, Rank: rank, Left: left, Waits: waits}
+		return Draw{Daemon: daemon, Subject: "e", Limits: Limits{Rate: 1}, Need: 1, Waiting: 1, Offered: 1, Requests: 1, Rank: rank, TimeLeft: left, Queued: waits}
 	}
 	o := NewOwner("o", one, longAgo)
 	now := at(10)
 	for o.Draw(now, asks("z", 1, time.Minute, false), 1).Units > 0 {
 	}
 	g := o.Draw(now, asks("a", 1, 5*time.Second, true), 1)
-	if g.Units > 0 || g.RoomIn <= 0 || g.RoomIn > time.Second {
+	if g.Units > 0 || g.RetryAfter <= 0 || g.RetryAfter > time.Second {
 		t.Fatalf("the first that waits: %+v", g)
 	}
-	if later := o.Draw(now, asks("b", 1, 9*time.Second, true), 1); later.Units > 0 || later.RoomIn < g.RoomIn+900*time.Millisecond {
-		t.Errorf("one that comes after it: %+v, room for the first in %v", later, g.RoomIn)
+	if later := o.Draw(now, asks("b", 1, 9*time.Second, true), 1); later.Units > 0 || later.RetryAfter < g.RetryAfter+900*time.Millisecond {
+		t.Errorf("one that comes after it: %+v, room for the first in %v", later, g.RetryAfter)
 	}
-	now = now.Add(g.RoomIn)
+	now = now.Add(g.RetryAfter)
 	if g := o.Draw(now, asks("c", 1, 15*time.Second, false), 1); g.Units > 0 {
 		t.Error("a new one overtakes those that wait")
 	}
--- a/coordination/quota/types.go
+++ b/coordination/quota/types.go
@@ -28,10 +28,10 @@
 	Slack   float64
 	// Depth is the part of what may be over that a bucket holds beside the burst, for
 	// subjects whose limits have none.
-	Depth float64
+	DepthShare float64
 	// Young is the part of what may be over that all owners together give who have started
 	// within one window, before they are told what went through.
-	Young float64
+	NewOwnerShare float64
 }
 
 // perWindow returns what the limits allow in a window.
@@ -58,11 +58,11 @@
 	if b.Window <= 0 {
 		return l.Burst
 	}
-	return min(l.Burst, l.Burst/2+startPart*b.over(l)) + b.Depth*b.over(l)
+	return min(l.Burst, l.Burst/2+startPart*b.over(l)) + b.DepthShare*b.over(l)
 }
 
 // inWindow returns what an owner gives in a window at the most.
-func (b Bounds) inWindow(l Limits) float64 { return b.perWindow(l) + b.Depth*b.over(l) }
+func (b Bounds) inWindow(l Limits) float64 { return b.perWindow(l) + b.DepthShare*b.over(l) }
 
 // over returns the units by which all daemons may exceed the limits in a window.
 func (b Bounds) over(l Limits) float64 {
@@ -71,7 +71,7 @@
 
 // AlonePart returns which part of the limits all daemons together may let through beside the
 // owner while they do not reach it: a part of the slack.
-func (b Bounds) AlonePart(l Limits) float64 {
+func (b Bounds) IsolatedShare(l Limits) float64 {
 	if b.Window <= 0 {
 		return 1
 	}
@@ -85,14 +85,14 @@
 	// it what they got from the one before. The rest is for counts that are a little off.
 	startPart = 0.3
 	// YoungPart is Bounds.Young for subjects with a burst, which a bucket holds already.
-	YoungPart = startPart
+	DefaultNewOwnerShare = startPart
 	// aheadPart is the part of what a window has room for that may be authorized ahead, over
 	// all daemons. It is room that nobody else gets, so the limits hold whoever uses it.
 	aheadPart = 0.35
 	// aheadFor is for how much of a daemon's own demand it is authorized ahead, and AheadLife
 	// how long that is good: what runs out unused counts as used until its daemon is heard.
-	aheadFor  = 4 * time.Second
-	AheadLife = 5 * time.Second
+	aheadFor          = 4 * time.Second
+	AllowanceLifetime = 5 * time.Second
 	// leastAhead is the number of average requests from which ahead is worth a word: a
 	// part of a request lets none through.
 	leastAhead = 1
@@ -144,8 +144,8 @@
 	Rank    int     // of the most urgent of them; 0 is first
 	// Left is the time until the caller of that one leaves, and Waits says that it asks again
 	// until it is let through. Requests that wait are let through in order over all daemons.
-	Left  time.Duration
-	Waits bool
+	TimeLeft time.Duration
+	Queued   bool
 	// Used is what it has let through of what it was authorized ahead, since its last draw.
 	Used float64
 	// Offered and Requests are what callers have asked for since its last draw, those that
@@ -154,10 +154,10 @@
 	Requests int
 	// Elsewhere is what it got from other owners within the window, as far as it has not
 	// told this one, and Summary the last word of another owner; nil if there is none.
-	Elsewhere []Past
-	Summary   *Summary
+	OtherGrants []PastGrant
+	Summary     *Summary
 	// Inform asks for the owner's summary.
-	Inform bool
+	WantSummary bool
 }
 
 // Summary is how an owner's bucket stands, for the one that follows it.
@@ -171,7 +171,7 @@
 }
 
 // Past is what was got at some time.
-type Past struct {
+type PastGrant struct {
 	Owner string // that gave it
 	Age   time.Duration
 	Units float64
@@ -182,21 +182,21 @@
 	Units float64 // for the requests that wait; taken out of the bucket
 	// Ahead is what the daemon may let through before it draws again, within AheadLife;
 	// instead of what it was authorized before.
-	Ahead float64
+	Allowance float64
 	// Again is the time before which the daemon must not draw again.
-	Again time.Duration
+	NextDrawIn time.Duration
 	// Over says that the subject is near its limit or over it. Spare is then what this
 	// daemon's part of the rate leaves for callers that come back, in units a second; zero
 	// while new requests alone are too many.
-	Over  bool
-	Spare float64
+	NearLimit bool
+	SpareRate float64
 	// Part is the part of the rate, in units a second, that the daemon may count on by what it
 	// and the others have asked for lately; zero while more urgent requests leave none.
-	Part float64
+	RateShare float64
 	// RoomIn is the time until there is room for one more request like those that wait, if
 	// nobody else takes it.
-	RoomIn  time.Duration
-	Summary *Summary // if it was asked for
+	RetryAfter time.Duration
+	Summary    *Summary // if it was asked for
 }
 
 // meter averages events that come in lumps.
--- a/coordination/relay/changelog.go
+++ b/coordination/relay/changelog.go
@@ -15,11 +15,11 @@
 type Delta struct {
 	Whole     bool // Endpoints are all there are
 	Endpoints []*fleet.Endpoint
-	Gone      []string // ids
+	Removed   []string // ids
 }
 
 // Empty reports whether nothing has changed.
-func (d *Delta) Empty() bool { return !d.Whole && len(d.Endpoints) == 0 && len(d.Gone) == 0 }
+func (d *Delta) Empty() bool { return !d.Whole && len(d.Endpoints) == 0 && len(d.Removed) == 0 }
 
 type departure struct {
 	id     string
@@ -39,7 +39,7 @@
 func NewChangeLog() *ChangeLog { return &ChangeLog{changedAt: map[string]uint64{}} }
 
 // Change returns the number of the last change.
-func (l *ChangeLog) Change() uint64 { return l.change }
+func (l *ChangeLog) LastChange() uint64 { return l.change }
 
 // Record takes the next view.
 func (l *ChangeLog) Record(old, next *fleet.View) {
@@ -76,7 +76,7 @@
 	}
 	for _, g := range l.gone {
 		if g.change > change && view.ByID[g.id] == nil {
-			d.Gone = append(d.Gone, g.id)
+			d.Removed = append(d.Removed, g.id)
 		}
 	}
 	return d
--- a/coordination/relay/relay.go
+++ b/coordination/relay/relay.go
@@ -28,7 +28,7 @@
 // least. Daemons with the same view of the members pick the same ones, and few
 // change when a member comes or goes.
 func Watchers(members []membership.Member) []membership.Member {
-	ranked := membership.Ablest(watchersKey, members)
+	ranked := membership.RendezvousByCapacity(watchersKey, members)
 	inDomain := map[string]int{}
 	for _, m := range ranked {
 		inDomain[m.FailureDomain]++
--- a/coordination/relay/relay_test.go
+++ b/coordination/relay/relay_test.go
@@ -64,15 +64,15 @@
 }
 
 func TestAgeIsNeverForgotten(t *testing.T) {
-	ago := func(now time.Time, endpoints, desired time.Duration) Seen {
-		return Seen{Endpoints: now.Add(-endpoints), DesiredState: now.Add(-desired)}
+	ago := func(now time.Time, endpoints, desired time.Duration) Freshness {
+		return Freshness{Endpoints: now.Add(-endpoints), DesiredState: now.Add(-desired)}
 	}
 	s := NewSource(time.Second)
 	if s.FreshUntil(Endpoints).After(start) || s.FreshUntil(DesiredState).After(start) {
 		t.Fatal("fresh before the first word")
 	}
 	told := ago(start, 400*time.Millisecond, 300*time.Millisecond)
-	s.Heard(start, told, told)
+	s.Receive(start, told, told)
 	if got := s.FreshUntil(Endpoints); got != start.Add(600*time.Millisecond) {
 		t.Fatalf("endpoints are fresh until %v", got.Sub(start))
 	}
@@ -82,7 +82,7 @@
 	first := s.Pick(2)
 	now := start.Add(100 * time.Millisecond)
 	told = ago(now, 5*time.Second, 5*time.Second)
-	s.Heard(now, told, told)
+	s.Receive(now, told, told)
 	if got := s.FreshUntil(Endpoints); got != start.Add(600*time.Millisecond) {
 		t.Fatalf("older news moved it to %v", got.Sub(start))
 	}
@@ -96,7 +96,7 @@
 func TestNamedDesiredStateIsNotKnown(t *testing.T) {
 	s := NewSource(time.Second)
 	first := s.Pick(2)
-	s.Heard(start, Seen{Endpoints: start, DesiredState: start}, Seen{Endpoints: start})
+	s.Receive(start, Freshness{Endpoints: start, DesiredState: start}, Freshness{Endpoints: start})
 	if s.Pick(2) != first {
 		t.Error("the upstream is left")
 	}
@@ -107,14 +107,14 @@
 
 // An upstream that is up to date with one kind only is behind.
 func TestUpstreamBehindWithOneKindIsLeft(t *testing.T) {
-	for _, seen := range []Seen{
+	for _, seen := range []Freshness{
 		{Endpoints: start, DesiredState: start.Add(-2 * time.Second)},
 		{Endpoints: start.Add(-2 * time.Second), DesiredState: start},
 		{Endpoints: start},
 	} {
 		s := NewSource(time.Second)
 		first := s.Pick(2)
-		s.Heard(start, seen, seen)
+		s.Receive(start, seen, seen)
 		if s.Pick(2) == first {
 			t.Errorf("%v: asked again", seen)
 		}
@@ -130,7 +130,7 @@
 
 func (f *follower) poll(now time.Time, l *ChangeLog, v *fleet.View) {
 	d := l.Since(f.cursor, f.known, v)
-	f.cursor, f.known = l.Change(), true
+	f.cursor, f.known = l.LastChange(), true
 	if d.Whole {
 		f.registry.List(now, d.Endpoints, v.Version, time.Time{})
 		return
@@ -138,7 +138,7 @@
 	for _, e := range d.Endpoints {
 		f.registry.Put(e, v.Version)
 	}
-	for _, id := range d.Gone {
+	for _, id := range d.Removed {
 		f.registry.Remove(now, id, v.Version, time.Time{})
 	}
 }
--- a/coordination/relay/source.go
+++ b/coordination/relay/source.go
@@ -26,10 +26,10 @@
 // while large desired states follow each other over links of 10 Mbit/s: with one age
 // for both, the last daemon had a version 4.5 s after the first, and up to 42 daemons
 // never had it; with two, all had it in 1.3 s.
-type Seen [kinds]time.Time
+type Freshness [kinds]time.Time
 
 // After reports whether any kind is known for longer than in other.
-func (s Seen) After(other Seen) bool {
+func (s Freshness) After(other Freshness) bool {
 	for k := range s {
 		if s[k].After(other[k]) {
 			return true
@@ -39,7 +39,7 @@
 }
 
 // Age returns the age of the kind that is oldest; unknown if one was never seen.
-func (s Seen) Age(now time.Time, unknown time.Duration) time.Duration {
+func (s Freshness) Age(now time.Time, unknown time.Duration) time.Duration {
 	oldest := time.Duration(0)
 	for _, at := range s {
 		if at.IsZero() {
@@ -51,7 +51,7 @@
 }
 
 // Latest returns, for each kind, the later of two times.
-func Latest(a, b Seen) Seen {
+func Latest(a, b Freshness) Freshness {
 	for k := range a {
 		if b[k].After(a[k]) {
 			a[k] = b[k]
@@ -68,7 +68,7 @@
 // never gets younger on its way.
 type Source struct {
 	limit    time.Duration
-	seen     Seen
+	seen     Freshness
 	failures int // upstreams given up on
 }
 
@@ -79,7 +79,7 @@
 // Heard takes what an upstream knows, and what of it this daemon has taken over:
 // less, where the upstream has only named a desired state. An upstream that is behind
 // with either kind is given up on.
-func (s *Source) Heard(now time.Time, told, taken Seen) {
+func (s *Source) Receive(now time.Time, told, taken Freshness) {
 	s.seen = Latest(s.seen, taken)
 	if told.Age(now, s.limit) >= s.limit {
 		s.failures++
@@ -93,7 +93,7 @@
 func (s *Source) Pick(n int) int { return s.failures % n }
 
 // Seen returns the time up to which the store has been followed.
-func (s *Source) Seen() Seen { return s.seen }
+func (s *Source) Freshness() Freshness { return s.seen }
 
 // FreshUntil returns when what was heard of a kind is too old to rely on; zero
 // before the first word.
--- a/coordination/residency/adopt.go
+++ b/coordination/residency/adopt.go
@@ -64,7 +64,7 @@
 			delete(w.models, name)
 		}
 	}
-	adoptComing(now, w, rep.Coming)
+	adoptComing(now, w, rep.LoadingAdapters)
 }
 
 // adoptComing takes the adapters on their way, which hold their slots.
@@ -95,7 +95,7 @@
 	return false
 }
 
-func (p *Planner) adoptModel(now time.Time, w *worker, m fleet.Loaded) {
+func (p *Planner) adoptModel(now time.Time, w *worker, m fleet.LoadedModel) {
 	r := w.models[m.Model]
 	if r == nil {
 		r = &replica{adapters: map[string]*adapter{}}
@@ -128,7 +128,7 @@
 		return
 	}
 	o.answered = true
-	has := slices.ContainsFunc(rep.Models, func(m fleet.Loaded) bool { return m.Model == o.order.Model })
+	has := slices.ContainsFunc(rep.Models, func(m fleet.LoadedModel) bool { return m.Model == o.order.Model })
 	switch {
 	case rep.Busy:
 		p.learnPlaces(now, o, false)
--- a/coordination/residency/bench_test.go
+++ b/coordination/residency/bench_test.go
@@ -19,7 +19,7 @@
 		w.step()
 	}
 	for i := range 40 {
-		w.p.Demand(w.now, fmt.Sprint("d", i), Demand{Active: map[string]int{fmt.Sprintf("m%02d", i): 3}, Running: map[Place]int{{life(fmt.Sprintf("e%d", i/3)), fmt.Sprintf("m%02d", i)}: 3}})
+		w.p.ReceiveDemand(w.now, fmt.Sprint("d", i), Demand{Active: map[string]int{fmt.Sprintf("m%02d", i): 3}, Running: map[Place]int{{life(fmt.Sprintf("e%d", i/3)), fmt.Sprintf("m%02d", i)}: 3}})
 	}
 	return w
 }
--- a/coordination/residency/draft.go
+++ b/coordination/residency/draft.go
@@ -52,7 +52,7 @@
 	}
 	d.pressed = p.pressedReplicas(d)
 	d.runTime = p.meanRunTime(d)
-	for len(d.store) < p.places.Places {
+	for len(d.store) < p.places.Estimate {
 		d.store = append(d.store, 0)
 	}
 	slices.Sort(d.store)
@@ -167,4 +167,4 @@
 
 // idleAfter is how long after it was named for a request a model counts as idle,
 // unless daemons say that requests run.
-func (p *Planner) idleAfter() time.Duration { return TellSoon(len(p.demands)) + idleMargin }
+func (p *Planner) idleAfter() time.Duration { return DemandDelay(len(p.demands)) + idleMargin }
--- a/coordination/residency/engine_test.go
+++ b/coordination/residency/engine_test.go
@@ -49,7 +49,7 @@
 }
 
 func newSimEngine(conf *routing.Engine, id string, models ...string) *simEngine {
-	e := &simEngine{conf: conf, models: map[string][]string{}, coming: map[AdapterRef]time.Time{}, leaving: map[AdapterRef]time.Time{}, onDisk: map[string]bool{}, endpoint: &fleet.Endpoint{ID: id, Born: firstBorn, Service: "s", Address: id, Version: storeversion.Version{Revision: 1}}}
+	e := &simEngine{conf: conf, models: map[string][]string{}, coming: map[AdapterRef]time.Time{}, leaving: map[AdapterRef]time.Time{}, onDisk: map[string]bool{}, endpoint: &fleet.Endpoint{ID: id, StartUnixMs: firstBorn, Service: "s", Address: id, Version: storeversion.Version{Revision: 1}}}
 	for _, m := range models {
 		e.models[m] = nil
 		e.onDisk[m] = true
@@ -66,10 +66,10 @@
 	e.endpoint = &next
 }
 
-func (e *simEngine) loaded() []fleet.Loaded {
-	var list []fleet.Loaded
+func (e *simEngine) loaded() []fleet.LoadedModel {
+	var list []fleet.LoadedModel
 	for _, m := range keysOf(e.models) {
-		list = append(list, fleet.Loaded{Model: m, Adapters: slices.Clone(e.models[m])})
+		list = append(list, fleet.LoadedModel{Model: m, Adapters: slices.Clone(e.models[m])})
 	}
 	return list
 }
@@ -87,7 +87,7 @@
 func (e *simEngine) restart(now time.Time) {
 	next := newSimEngine(e.conf, e.endpoint.ID)
 	next.onDisk, next.adapterTime = e.onDisk, e.adapterTime
-	next.endpoint.Born, next.endpoint.Version = now.UnixMilli(), e.endpoint.Version
+	next.endpoint.StartUnixMs, next.endpoint.Version = now.UnixMilli(), e.endpoint.Version
 	next.publish()
 	next.overloaded = e.overloaded
 	*e = *next
@@ -129,8 +129,8 @@
 		coming = append(coming, ref)
 	}
 	e.history = append(e.history, simState{now, Report{
-		Coming:   coming,
-		Endpoint: e.endpoint.Life(), Sequence: e.sequence, Busy: e.busy, Models: e.loaded(), OnDisk: keys(e.onDisk),
+		LoadingAdapters: coming,
+		Endpoint:        e.endpoint.Incarnation(), Sequence: e.sequence, Busy: e.busy, Models: e.loaded(), OnDisk: keys(e.onDisk),
 	}})
 }
 
@@ -155,7 +155,7 @@
 	case o.Adapter != "":
 		return e.adapterOrder(now, o, holds)
 	case o.Unload != holds:
-		return Holds
+		return AlreadyDone
 	}
 	e.sequence++
 	e.busy, e.during = true, o
@@ -169,10 +169,10 @@
 	if e.memory()+e.conf.Models[o.Model].SizeMB > e.conf.MemoryMB {
 		e.overloaded = true
 	}
-	took := e.conf.Models[o.Model].FromStore
+	took := e.conf.Models[o.Model].LoadFromStore
 	e.fromStore = !e.onDisk[o.Model]
 	if e.onDisk[o.Model] {
-		took = e.conf.Models[o.Model].FromDisk
+		took = e.conf.Models[o.Model].LoadFromDisk
 	}
 	e.doneAt = now.Add(took)
 	return Accepted
@@ -185,7 +185,7 @@
 	ref := AdapterRef{o.Model, o.Adapter}
 	has := slices.Contains(e.models[o.Model], o.Adapter) || !e.coming[ref].IsZero()
 	if o.Unload != has {
-		return Holds
+		return AlreadyDone
 	}
 	e.sequence++
 	if o.Unload && now.Before(e.runsEnd) {
@@ -195,7 +195,7 @@
 	if o.Unload {
 		delete(e.coming, ref)
 		e.models[o.Model] = slices.DeleteFunc(e.models[o.Model], func(a string) bool { return a == o.Adapter })
-		return Holds
+		return AlreadyDone
 	}
 	e.coming[ref] = now.Add(e.adapterTime)
 	total := len(e.coming)
--- a/coordination/residency/limits.go
+++ b/coordination/residency/limits.go
@@ -15,16 +15,16 @@
 // limitedLife is the limit that one life of an engine names.
 type limitedLife struct {
 	life fleet.Incarnation
-	word limit.Word
+	word limit.Report
 }
 
 // Limited takes the limit that an engine names, or that it names none any more.
-func (p *Planner) Limited(life fleet.Incarnation, w limit.Word) {
+func (p *Planner) SetLimit(life fleet.Incarnation, w limit.Report) {
 	if w.Limited {
 		p.limits[life.ID] = limitedLife{life, w}
 		return
 	}
-	if l, known := p.limits[life.ID]; known && l.life.Same(life) {
+	if l, known := p.limits[life.ID]; known && l.life.Matches(life) {
 		delete(p.limits, life.ID)
 	}
 	if worker := p.workerOf(life); worker != nil {
@@ -48,7 +48,7 @@
 // its limit.
 func (p *Planner) capacity(w *worker) int {
 	declared := max(1, w.endpoint.Slots)
-	if l, limited := p.limits[w.life.ID]; limited && l.life.Same(w.life) {
+	if l, limited := p.limits[w.life.ID]; limited && l.life.Matches(w.life) {
 		return min(declared, l.word.Capacity(p.runTime()))
 	}
 	return declared
--- a/coordination/residency/limits_test.go
+++ b/coordination/residency/limits_test.go
@@ -14,12 +14,12 @@
 func TestModelOfAnEngineWithoutRoomIsLoadedElsewhere(t *testing.T) {
 	w := newSlottedWorld(9, 3)
 	want := Want{Model: "m00", Full: []fleet.Incarnation{life("e0")}}
-	w.p.Limited(life("e0"), limit.Word{Rate: 1, Limited: true})
+	w.p.SetLimit(life("e0"), limit.Report{Rate: 1, Limited: true})
 	if a := w.p.Want(w.now, want); a.Endpoint.ID == "e0" || a.Refused != "" || a.ReadyIn == 0 {
 		t.Fatalf("with its holder full: %+v", a)
 	}
 	for range 100 {
-		w.p.Demand(w.now, "d", Demand{Active: map[string]int{"m00": 2}, Running: map[Place]int{{Endpoint: life("e0"), Model: "m00"}: 1}})
+		w.p.ReceiveDemand(w.now, "d", Demand{Active: map[string]int{"m00": 2}, Running: map[Place]int{{Endpoint: life("e0"), Model: "m00"}: 1}})
 		w.p.Want(w.now, want)
 		w.run(100 * time.Millisecond)
 	}
@@ -29,7 +29,7 @@
 	if a := w.p.Want(w.now, want); a.Endpoint.ID == "e0" || a.ReadyIn != 0 {
 		t.Fatalf("the second holder is there: %+v", a)
 	}
-	w.p.Limited(life("e0"), limit.Word{})
+	w.p.SetLimit(life("e0"), limit.Report{})
 	if w.p.workerOf(life("e0")).isFull(w.now) {
 		t.Fatal("full after the end of its limit")
 	}
@@ -53,8 +53,8 @@
 	w.run(time.Second)
 	var full []fleet.Incarnation
 	for _, e := range w.engines {
-		w.p.Limited(e.endpoint.Life(), limit.Word{Rate: 0.5, Limited: true})
-		full = append(full, e.endpoint.Life())
+		w.p.SetLimit(e.endpoint.Incarnation(), limit.Report{Rate: 0.5, Limited: true})
+		full = append(full, e.endpoint.Incarnation())
 	}
 	for range 50 {
 		for _, m := range []string{"m00", "m04", "m08"} {
@@ -72,7 +72,7 @@
 	if n := w.p.capacity(worker); n != 64 {
 		t.Fatalf("%d slots without a limit", n)
 	}
-	w.p.Limited(life("e0"), limit.Word{Rate: 2, Limited: true})
+	w.p.SetLimit(life("e0"), limit.Report{Rate: 2, Limited: true})
 	if n := w.p.capacity(worker); n != 2 {
 		t.Fatalf("%d slots at 2 a second that run a second each", n)
 	}
--- a/coordination/residency/lives.go
+++ b/coordination/residency/lives.go
@@ -22,7 +22,7 @@
 func (w *worker) unplanned(l lateOrder, engine *routing.Engine) float64 {
 	m := engine.Models[l.order.Model]
 	switch {
-	case l.order.Unload, l.order.Endpoint.Same(w.life):
+	case l.order.Unload, l.order.Endpoint.Matches(w.life):
 		return 0
 	case l.order.Adapter != "":
 		return m.AdapterMB
@@ -34,7 +34,7 @@
 // that was decided on for an earlier life and accepted may be this life's.
 func (w *worker) noteLate(now time.Time, o Order, outcome Outcome) {
 	w.late = slices.DeleteFunc(w.late, func(l lateOrder) bool { return l.order == o })
-	if outcome == Unanswered || outcome == Accepted && !o.Endpoint.Same(w.life) {
+	if outcome == Unanswered || outcome == Accepted && !o.Endpoint.Matches(w.life) {
 		w.mayComeLate(now, o)
 	}
 }
@@ -49,7 +49,7 @@
 // for its time, since the next life may count up to it.
 func (w *worker) forgetLate(now time.Time) {
 	w.late = slices.DeleteFunc(w.late, func(l lateOrder) bool {
-		counted := w.known && w.sequence > l.order.Expect && !l.order.Endpoint.Same(w.life)
+		counted := w.known && w.sequence > l.order.Expect && !l.order.Endpoint.Matches(w.life)
 		return counted || !now.Before(l.until)
 	})
 }
@@ -62,10 +62,10 @@
 // ordered to load has not started again: those begin empty. Keeping a model's memory free
 // takes a place of three, so it is not done for any that may be old enough.
 func (p *Planner) mayHaveUnknownLate(now time.Time, w *worker) bool {
-	if p.lease.First || w.life.Born == 0 || now.Sub(p.tookOver) >= lateOrderLife || uint64(len(w.models)) > w.sequence {
+	if p.lease.First || w.life.StartUnixMs == 0 || now.Sub(p.tookOver) >= lateOrderLife || uint64(len(w.models)) > w.sequence {
 		return false
 	}
-	return now.Sub(time.UnixMilli(w.life.Born)) < lateOrderLife+clockSlack
+	return now.Sub(time.UnixMilli(w.life.StartUnixMs)) < lateOrderLife+clockSlack
 }
 
 // reborn replaces what is believed of an engine by what is known of its next life:
@@ -88,7 +88,7 @@
 func (p *Planner) rebornUnlisted(now time.Time, w *worker, life fleet.Incarnation) *worker {
 	next := p.reborn(now, w, life)
 	entry := *w.endpoint
-	entry.Born, entry.Models, entry.Leaving, entry.Remaining = life.Born, nil, false, 0
+	entry.StartUnixMs, entry.Models, entry.Leaving, entry.Remaining = life.StartUnixMs, nil, false, 0
 	next.endpoint = &entry
 	p.sortWorkers()
 	return next
@@ -97,7 +97,7 @@
 // workerOf returns the engine of an incarnation; nil if it is unknown or lives
 // another life.
 func (p *Planner) workerOf(life fleet.Incarnation) *worker {
-	if w := p.workers[life.ID]; w != nil && w.life.Same(life) {
+	if w := p.workers[life.ID]; w != nil && w.life.Matches(life) {
 		return w
 	}
 	return nil
@@ -109,7 +109,7 @@
 	out := make(map[Place]int, len(running))
 	for place, n := range running {
 		if w := p.workers[place.Endpoint.ID]; w != nil {
-			if !w.life.Same(place.Endpoint) {
+			if !w.life.Matches(place.Endpoint) {
 				continue
 			}
 			place.Endpoint = w.life
--- a/coordination/residency/lives_test.go
+++ b/coordination/residency/lives_test.go
@@ -78,7 +78,7 @@
 			w.p.workers["e0"].probe = w.now // as when a request has found it gone
 		}
 		w.run(500 * time.Millisecond)
-		w.p.Reported(w.now, old)
+		w.p.ReceiveReport(w.now, old)
 		if a := w.p.Want(w.now, Want{Model: "m00"}); a.Level == Resident {
 			t.Fatalf("listed %v: the model of the life before is named: %+v", listed, a)
 		}
@@ -93,16 +93,16 @@
 func TestDemandOfAnEarlierLifeDoesNotCount(t *testing.T) {
 	w := newWorld(3, 1)
 	e := w.engines[0]
-	before := e.endpoint.Life()
+	before := e.endpoint.Incarnation()
 	w.run(100 * time.Millisecond)
 	e.restart(w.now)
 	w.entries()
-	w.p.Demand(w.now, "d", Demand{Active: map[string]int{"m00": 1}, Running: map[Place]int{{before, "m00"}: 1}})
+	w.p.ReceiveDemand(w.now, "d", Demand{Active: map[string]int{"m00": 1}, Running: map[Place]int{{before, "m00"}: 1}})
 	if n := len(w.p.demands["d"].Running); n != 0 {
 		t.Fatalf("%d places of the life before count", n)
 	}
-	w.p.Demand(w.now, "d", Demand{Running: map[Place]int{{life("e0"), "m00"}: 1}})
-	if w.p.demands["d"].Running[Place{e.endpoint.Life(), "m00"}] != 1 {
+	w.p.ReceiveDemand(w.now, "d", Demand{Running: map[Place]int{{life("e0"), "m00"}: 1}})
+	if w.p.demands["d"].Running[Place{e.endpoint.Incarnation(), "m00"}] != 1 {
 		t.Fatal("a daemon that tells no start speaks of the present life")
 	}
 }
@@ -123,7 +123,7 @@
 	} {
 		w := newWorld(3, 1)
 		e := w.engines[0]
-		e.endpoint.Born, e.sequence = w.now.Add(-c.age).UnixMilli(), c.sequence
+		e.endpoint.StartUnixMs, e.sequence = w.now.Add(-c.age).UnixMilli(), c.sequence
 		e.publish()
 		w.takeOver()
 		w.run(400 * time.Millisecond)
--- a/coordination/residency/load_test.go
+++ b/coordination/residency/load_test.go
@@ -48,14 +48,14 @@
 		}
 	}
 	w.run(time.Second)
-	busy := Demand{Active: map[string]int{}, Running: map[Place]int{}, First: map[Place]FirstEvents{}}
+	busy := Demand{Active: map[string]int{}, Running: map[Place]int{}, FirstEvents: map[Place]FirstEvents{}}
 	for i := range 18 {
 		model := fmt.Sprintf("m%02d", i)
 		place := Place{life(fmt.Sprintf("e%d", i/3)), model}
 		busy.Active[model], busy.Running[place] = 1, 1
-		busy.First[place] = FirstEvents{Count: 1}
+		busy.FirstEvents[place] = FirstEvents{Count: 1}
 	}
-	w.p.Demand(w.now, "d", busy)
+	w.p.ReceiveDemand(w.now, "d", busy)
 	for i := 18; i < 24; i++ {
 		a := w.p.Want(w.now, Want{Model: fmt.Sprintf("m%02d", i)})
 		if a.Level != Disk || a.ReadyIn > 3*time.Second {
@@ -63,7 +63,7 @@
 		}
 	}
 	w.run(600 * time.Millisecond)
-	w.p.Demand(w.now, "d", Demand{})
+	w.p.ReceiveDemand(w.now, "d", Demand{})
 	w.run(1500 * time.Millisecond)
 	for i := 18; i < 24; i++ {
 		if w.holders(fmt.Sprintf("m%02d", i)) == 0 {
@@ -85,7 +85,7 @@
 	for _, m := range []string{"m00", "m01", "m02"} {
 		d.Active[m], d.Running[Place{life("e0"), m}] = 30, 30
 	}
-	w.p.Demand(w.now, "d", d)
+	w.p.ReceiveDemand(w.now, "d", d)
 	if a := w.p.Want(w.now, Want{Model: "m03"}); a.Refused != RefusedNoRoom {
 		t.Fatalf("%+v, want a refusal", a)
 	}
@@ -103,10 +103,10 @@
 		w.p.Want(w.now, Want{Model: m})
 		d.Active[m], d.Running[Place{life("e0"), m}] = 1, 1
 	}
-	w.p.Demand(w.now, "d", d)
+	w.p.ReceiveDemand(w.now, "d", d)
 	w.p.Want(w.now, Want{Model: "m03"})
 	w.run(250 * time.Millisecond)
-	w.p.Demand(w.now, "d", Demand{})
+	w.p.ReceiveDemand(w.now, "d", Demand{})
 	w.run(150 * time.Millisecond)
 	if !w.engines[0].busy || w.engines[0].during.Model != "m03" {
 		t.Fatal("the place is not taken 150 ms after its request has ended")
@@ -119,8 +119,8 @@
 func TestTellsAreBounded(t *testing.T) {
 	w := newWorld(3, 1)
 	for n := 1; n <= 400; n++ {
-		w.p.Demand(w.now, fmt.Sprint("d", n), Demand{})
-		soon := TellSoon(n)
+		w.p.ReceiveDemand(w.now, fmt.Sprint("d", n), Demand{})
+		soon := DemandDelay(n)
 		if perSecond := float64(n) / soon.Seconds(); perSecond > tellsMost+1 {
 			t.Fatalf("%d daemons tell %.0f times a second", n, perSecond)
 		}
--- a/coordination/residency/outcome.go
+++ b/coordination/residency/outcome.go
@@ -47,7 +47,7 @@
 }
 
 // Ordered takes the outcome of an order.
-func (p *Planner) Ordered(now time.Time, order Order, outcome Outcome) {
+func (p *Planner) ObserveOutcome(now time.Time, order Order, outcome Outcome) {
 	w := p.workers[order.Endpoint.ID]
 	if w == nil {
 		return
@@ -64,7 +64,7 @@
 			return
 		}
 		p.accepted(now, w)
-	case Holds:
+	case AlreadyDone:
 		if w.order.order.Adapter != "" && w.order.order.Unload {
 			p.accepted(now, w) // an unused adapter is unloaded at once
 			return
@@ -163,12 +163,12 @@
 	m := p.conf.Engine.Models[model]
 	switch l {
 	case Memory:
-		return m.FromMemory
+		return m.LoadFromMemory
 	case Disk:
-		return m.FromDisk
+		return m.LoadFromDisk
 	case Store:
-		crowd := max(1, float64(storeLoads)/float64(p.places.Places))
-		return time.Duration(float64(m.FromStore) * crowd)
+		crowd := max(1, float64(storeLoads)/float64(p.places.Estimate))
+		return time.Duration(float64(m.LoadFromStore) * crowd)
 	}
 	return 0
 }
--- a/coordination/residency/planner.go
+++ b/coordination/residency/planner.go
@@ -114,12 +114,12 @@
 	pressures map[string]*pressure // of models in use
 	slots     []slot               // the schedule as last made
 	slotsAt   time.Time
-	starts    []time.Time // loads from the store, newest last
-	grownAt   time.Time   // when an engine was new last
-	copiesAt  time.Time   // models without a near copy are looked for then
-	sorted    []*worker   // by id, so that decisions repeat
-	draft     draft       // of the last step
-	places    StorePlaces // of the weight store
+	starts    []time.Time      // loads from the store, newest last
+	grownAt   time.Time        // when an engine was new last
+	copiesAt  time.Time        // models without a near copy are looked for then
+	sorted    []*worker        // by id, so that decisions repeat
+	draft     draft            // of the last step
+	places    StoreConcurrency // of the weight store
 	// unloadTakes is how long engines take to carry out an unload, as was learned.
 	unloadTakes time.Duration
 	limits      map[string]limitedLife // that engines name, by id
@@ -129,7 +129,7 @@
 
 // New returns a planner that knows nothing.
 func New(opt Options) *Planner {
-	return &Planner{opt: opt, places: newStorePlaces(opt.StoreAtOnce), workers: map[string]*worker{}, limits: map[string]limitedLife{}, demands: map[string]*demand{}, wants: map[string]*wanted{}, values: map[string]*value{}, pressures: map[string]*pressure{}}
+	return &Planner{opt: opt, places: newStorePlaces(opt.InitialStoreConcurrency), workers: map[string]*worker{}, limits: map[string]limitedLife{}, demands: map[string]*demand{}, wants: map[string]*wanted{}, values: map[string]*value{}, pressures: map[string]*pressure{}}
 }
 
 // Configure takes the service's models.
@@ -154,7 +154,7 @@
 }
 
 // Lease takes whether this daemon holds the lease.
-func (p *Planner) Lease(now time.Time, l Lease) {
+func (p *Planner) SetLease(now time.Time, l Lease) {
 	if l.Held && !p.lease.Held || l.Fence != p.lease.Fence {
 		p.tookOver = now
 		for _, w := range p.workers {
@@ -169,20 +169,20 @@
 }
 
 // Endpoints takes the present view.
-func (p *Planner) Endpoints(now time.Time, list []*fleet.Endpoint) {
+func (p *Planner) SetEndpoints(now time.Time, list []*fleet.Endpoint) {
 	present := make(map[string]bool, len(list))
 	for _, e := range list {
 		present[e.ID] = true
 		w := p.workers[e.ID]
 		switch {
 		case w == nil:
-			w = newWorker(now, e.Life())
+			w = newWorker(now, e.Incarnation())
 			p.workers[e.ID] = w
 			p.grownAt = now
-		case e.Life().Before(w.life):
+		case e.Incarnation().Before(w.life):
 			continue // the engine itself has told of a later life
-		case w.life.Before(e.Life()):
-			w = p.reborn(now, w, e.Life())
+		case w.life.Before(e.Incarnation()):
+			w = p.reborn(now, w, e.Incarnation())
 		}
 		known := w.endpoint != nil && w.endpoint.Version == e.Version
 		w.endpoint = e
@@ -212,7 +212,7 @@
 }
 
 // Reported takes an engine's report.
-func (p *Planner) Reported(now time.Time, r Report) {
+func (p *Planner) ReceiveReport(now time.Time, r Report) {
 	w := p.workers[r.Endpoint.ID]
 	if w == nil || r.Endpoint.Before(w.life) {
 		return
@@ -220,7 +220,7 @@
 	if w.life.Before(r.Endpoint) {
 		w = p.rebornUnlisted(now, w, r.Endpoint)
 	}
-	if w.life.Born == 0 {
+	if w.life.StartUnixMs == 0 {
 		w.life = r.Endpoint
 	}
 	w.asking, w.down, w.silent, w.heardAt = false, false, 0, now
@@ -256,12 +256,12 @@
 func (w *worker) usable() bool { return !w.endpoint.Leaving && !w.down }
 
 // Demand takes what a daemon says of its requests.
-func (p *Planner) Demand(now time.Time, daemon string, d Demand) {
+func (p *Planner) ReceiveDemand(now time.Time, daemon string, d Demand) {
 	d.Running = p.ofPresentLives(d.Running)
 	p.countDelta(daemon, d.Running)
 	p.forgetSent(now, daemon)
 	p.demands[daemon] = &demand{Demand: d, at: now}
-	for place, first := range d.First {
+	for place, first := range d.FirstEvents {
 		p.pressed(now, place.Model, first)
 	}
 	for place, n := range d.Running {
--- a/coordination/residency/planner_test.go
+++ b/coordination/residency/planner_test.go
@@ -18,7 +18,7 @@
 	e := &routing.Engine{Slots: 64, MemoryMB: 230, AdapterSlots: 3, LoadsPerSecond: 3, Models: map[string]routing.Model{}}
 	for i := range models {
 		name := fmt.Sprintf("m%02d", i)
-		e.Models[name] = routing.Model{Name: name, SizeMB: 70, Adapters: 4, AdapterMB: 1, FromStore: 6 * time.Second, FromDisk: 800 * time.Millisecond, FromMemory: 500 * time.Millisecond}
+		e.Models[name] = routing.Model{Name: name, SizeMB: 70, Adapters: 4, AdapterMB: 1, LoadFromStore: 6 * time.Second, LoadFromDisk: 800 * time.Millisecond, LoadFromMemory: 500 * time.Millisecond}
 	}
 	return e
 }
@@ -80,9 +80,9 @@
 // takeOver replaces the planner by one of another daemon.
 func (w *world) takeOver() {
 	w.fence++
-	w.p = New(Options{Holder: fmt.Sprintf("h%d", w.fence), StoreAtOnce: 4, RateWindow: 5 * time.Second, RateFactor: 1.1})
+	w.p = New(Options{Holder: fmt.Sprintf("h%d", w.fence), InitialStoreConcurrency: 4, RateWindow: 5 * time.Second, RateFactor: 1.1})
 	w.p.Configure(Config{Service: "s", Engine: w.conf})
-	w.p.Lease(w.now, Lease{Held: true, Fence: w.fence, First: w.fence == 1, OrdersFrom: w.now})
+	w.p.SetLease(w.now, Lease{Held: true, Fence: w.fence, First: w.fence == 1, OrdersFrom: w.now})
 	w.entries()
 }
 
@@ -91,7 +91,7 @@
 	for i, e := range w.engines {
 		list[i] = e.endpoint
 	}
-	w.p.Endpoints(w.now, list)
+	w.p.SetEndpoints(w.now, list)
 }
 
 func (w *world) engine(id string) *simEngine {
@@ -124,7 +124,7 @@
 	r := w.p.Ready(w.now)
 	for _, life := range r.Probes {
 		if e := w.engine(life.ID); e != nil && (w.silent == nil || !w.silent()) {
-			w.p.Reported(w.now, e.report(w.now, w.lag))
+			w.p.ReceiveReport(w.now, e.report(w.now, w.lag))
 			continue
 		}
 		w.p.ReportFailed(w.now, life)
@@ -138,7 +138,7 @@
 		if w.accepted != nil && outcome == Accepted {
 			w.accepted(o)
 		}
-		w.p.Ordered(w.now, o, outcome)
+		w.p.ObserveOutcome(w.now, o, outcome)
 	}
 }
 
@@ -180,7 +180,7 @@
 		}
 	}
 	for range 10 {
-		w.p.Demand(w.now, "d", Demand{Active: map[string]int{"m00": 20}, Running: map[Place]int{{life("e0"), "m00"}: 20}})
+		w.p.ReceiveDemand(w.now, "d", Demand{Active: map[string]int{"m00": 20}, Running: map[Place]int{{life("e0"), "m00"}: 20}})
 		w.run(time.Second)
 	}
 	if held := w.holders("m00"); held != needed(20, w.p.perReplica()) || loads != needed(20, w.p.perReplica())-1 {
@@ -197,7 +197,7 @@
 		if i >= 20 { // the weight store has its hands full by then
 			running = 80
 		}
-		w.p.Demand(w.now, "d", Demand{Active: map[string]int{"m00": running}, Running: map[Place]int{{life("e0"), "m00"}: running}})
+		w.p.ReceiveDemand(w.now, "d", Demand{Active: map[string]int{"m00": running}, Running: map[Place]int{{life("e0"), "m00"}: running}})
 		w.p.Want(w.now, Want{Model: fmt.Sprintf("m%02d", 20+i)})
 		w.run(200 * time.Millisecond)
 	}
@@ -339,7 +339,7 @@
 	w := newWorld(3, 1)
 	w.run(time.Second)
 	delete(w.engines[0].models, "m01")
-	a := w.p.Want(w.now, Want{Model: "m01", Absent: life("e0")})
+	a := w.p.Want(w.now, Want{Model: "m01", MissingAt: life("e0")})
 	if a.Refused == "" && a.ReadyIn == 0 {
 		t.Fatalf("answer %+v names the engine that has just said no", a)
 	}
@@ -366,7 +366,7 @@
 
 func TestNoOrderBeforeTheFormerHolderIsSilent(t *testing.T) {
 	w := newWorld(9, 2)
-	w.p.Lease(w.now, Lease{Held: true, Fence: 9, OrdersFrom: w.now.Add(3 * time.Second)})
+	w.p.SetLease(w.now, Lease{Held: true, Fence: 9, OrdersFrom: w.now.Add(3 * time.Second)})
 	w.p.Want(w.now, Want{Model: "m08"})
 	if a := w.p.Want(w.now, Want{Model: "m00", Adapter: "a1"}); a.ReadyIn < 2*time.Second {
 		t.Fatalf("an adapter that needs an order is promised in %v", a.ReadyIn)
@@ -414,7 +414,7 @@
 		name := fmt.Sprintf("a%d", i)
 		w.p.Want(w.now, Want{Model: "m00", Adapter: name})
 		w.run(300 * time.Millisecond)
-		w.p.Want(w.now, Want{Model: "m00", Adapter: name, Absent: life("e0")})
+		w.p.Want(w.now, Want{Model: "m00", Adapter: name, MissingAt: life("e0")})
 		w.run(300 * time.Millisecond)
 		w.check(t)
 	}
@@ -446,7 +446,7 @@
 	e.onDisk["m03"] = true
 	for range 10 {
 		w.run(500 * time.Millisecond)
-		w.p.Demand(w.now, "d", Demand{Active: map[string]int{"m00": 1}, Running: map[Place]int{{life("e0"), "m00"}: 1}})
+		w.p.ReceiveDemand(w.now, "d", Demand{Active: map[string]int{"m00": 1}, Running: map[Place]int{{life("e0"), "m00"}: 1}})
 	}
 	w.p.Want(w.now, Want{Model: "m03"})
 	w.run(2 * time.Second)
@@ -500,10 +500,10 @@
 		w.entries()
 	case 4:
 		n := rapid.IntRange(0, 60).Draw(t, "active")
-		w.p.Demand(w.now, "d", Demand{Active: map[string]int{model: n}, Running: map[Place]int{{e.endpoint.Life(), model}: n}})
+		w.p.ReceiveDemand(w.now, "d", Demand{Active: map[string]int{model: n}, Running: map[Place]int{{e.endpoint.Incarnation(), model}: n}})
 	case 5:
-		w.p.Want(w.now, Want{Model: model, Absent: e.endpoint.Life()})
-		w.p.Want(w.now, Want{Model: model, Adapter: fmt.Sprintf("a%d", rapid.IntRange(1, 4).Draw(t, "adapter")), Absent: e.endpoint.Life()})
+		w.p.Want(w.now, Want{Model: model, MissingAt: e.endpoint.Incarnation()})
+		w.p.Want(w.now, Want{Model: model, Adapter: fmt.Sprintf("a%d", rapid.IntRange(1, 4).Draw(t, "adapter")), MissingAt: e.endpoint.Incarnation()})
 		e.adapterTime = time.Duration(rapid.IntRange(0, 1500).Draw(t, "adapter time")) * time.Millisecond
 	case 6, 7:
 		w.p.Want(w.now, Want{Model: model, Adapter: fmt.Sprintf("a%d", rapid.IntRange(1, 4).Draw(t, "adapter"))})
--- a/coordination/residency/pressure.go
+++ b/coordination/residency/pressure.go
@@ -56,7 +56,7 @@
 func (p *Planner) pressed(now time.Time, model string, f FirstEvents) {
 	s := p.pressures[model]
 	if s == nil {
-		s = &pressure{at: now, seconds: TellEvery.Seconds()}
+		s = &pressure{at: now, seconds: DemandInterval.Seconds()}
 		p.pressures[model] = s
 	}
 	s.fade(now)
--- a/coordination/residency/pressure_test.go
+++ b/coordination/residency/pressure_test.go
@@ -13,9 +13,9 @@
 	place := Place{life(engine), model}
 	for ; d > 0; d -= tick {
 		n := perSecond * tick.Seconds()
-		w.p.Demand(w.now, "d", Demand{
+		w.p.ReceiveDemand(w.now, "d", Demand{
 			Active: map[string]int{model: running}, Running: map[Place]int{place: running},
-			First: map[Place]FirstEvents{place: {Count: int(n), Slow: int(n * slow)}},
+			FirstEvents: map[Place]FirstEvents{place: {Count: int(n), Slow: int(n * slow)}},
 		})
 		w.run(tick)
 	}
