--- a/coordination/residency/rare_test.go
+++ b/coordination/residency/rare_test.go
@@ -35,7 +35,7 @@
 type rareDaemon struct {
 	name   string
 	demand Demand
-	pace   Pace
+	pace   DemandTimer
 	said   int // places, last
 }
 
@@ -61,7 +61,7 @@
 	l := &rareLoad{world: &world{now: start, conf: testEngine(models), lag: 200 * time.Millisecond}, rng: rng, models: models}
 	l.conf.Slots, l.conf.LoadsPerSecond = 12, 48
 	for name, m := range l.conf.Models {
-		m.FromStore, m.FromDisk, m.FromMemory = 13200*time.Millisecond, 640*time.Millisecond, 470*time.Millisecond
+		m.LoadFromStore, m.LoadFromDisk, m.LoadFromMemory = 13200*time.Millisecond, 640*time.Millisecond, 470*time.Millisecond
 		l.conf.Models[name] = m
 	}
 	held := make([][]string, engines)
@@ -100,11 +100,11 @@
 	l.takeOver()
 	for i := range daemons {
 		d := &rareDaemon{name: fmt.Sprint("d", i), demand: Demand{Active: map[string]int{}, Running: map[Place]int{}}}
-		d.pace.Told(l.now.Add(time.Duration(rng.IntN(650))*time.Millisecond), daemons)
+		d.pace.ObserveSent(l.now.Add(time.Duration(rng.IntN(650))*time.Millisecond), daemons)
 		l.daemons = append(l.daemons, d)
 	}
 	for i := range hot {
-		p := Place{l.engines[i%engines].endpoint.Life(), fmt.Sprintf("hot%02d", i%16)}
+		p := Place{l.engines[i%engines].endpoint.Incarnation(), fmt.Sprintf("hot%02d", i%16)}
 		d := l.daemons[i%daemons]
 		d.demand.Running[p] += 5
 		d.demand.Active[p.Model] += 5
@@ -147,7 +147,7 @@
 		drop(r.daemon.demand.Running, r.place)
 		drop(r.daemon.demand.Active, r.model)
 		if r.daemon.demand.Running[r.place] == 0 {
-			r.daemon.pace.Freed(l.now, len(l.daemons))
+			r.daemon.pace.ObserveFreed(l.now, len(l.daemons))
 		}
 		return true
 	})
@@ -180,7 +180,7 @@
 
 func (l *rareLoad) begin(r *rareRequest, a Answer) bool {
 	if _, holds := l.engine(a.Endpoint.ID).models[r.model]; !holds {
-		l.p.Want(l.now, Want{Model: r.model, Rank: 1, Absent: a.Endpoint, Daemon: r.daemon.name})
+		l.p.Want(l.now, Want{Model: r.model, Rank: 1, MissingAt: a.Endpoint, Daemon: r.daemon.name})
 		return false
 	}
 	r.place = Place{a.Endpoint, r.model}
@@ -196,7 +196,7 @@
 	}
 	r.ends = begins.Add(run)
 	r.daemon.demand.Running[r.place]++
-	r.daemon.pace.Turned(l.now, len(l.daemons))
+	r.daemon.pace.ObserveChange(l.now, len(l.daemons))
 	l.runs = append(l.runs, r)
 	l.waits = append(l.waits, begins.Sub(r.arrived))
 	return true
@@ -234,9 +234,9 @@
 			for k, v := range d.demand.Running {
 				said.Running[k] = v
 			}
-			l.p.Demand(l.now, d.name, said)
+			l.p.ReceiveDemand(l.now, d.name, said)
 		}
-		d.pace.Told(l.now, len(l.daemons))
+		d.pace.ObserveSent(l.now, len(l.daemons))
 	}
 }
 
@@ -292,7 +292,7 @@
 		l := &rareLoad{world: w, rng: rand.New(rand.NewPCG(3, 3)), models: 1, rate: 54, slotFreeAt: map[string][]time.Time{}, refuses: refuses}
 		for i := range 195 {
 			d := &rareDaemon{name: fmt.Sprint("d", i), demand: Demand{Active: map[string]int{}, Running: map[Place]int{}}}
-			d.pace.Told(l.now.Add(time.Duration(l.rng.IntN(650))*time.Millisecond), 195)
+			d.pace.ObserveSent(l.now.Add(time.Duration(l.rng.IntN(650))*time.Millisecond), 195)
 			l.daemons = append(l.daemons, d)
 		}
 		l.play(20 * time.Second)
@@ -327,7 +327,7 @@
 		b.Run(fmt.Sprintf("word/%d daemons", c.daemons), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				l.p.Demand(l.now, l.daemons[0].name, said)
+				l.p.ReceiveDemand(l.now, l.daemons[0].name, said)
 			}
 		})
 		b.Run(fmt.Sprintf("answer/%d daemons", c.daemons), func(b *testing.B) {
--- a/coordination/residency/ready.go
+++ b/coordination/residency/ready.go
@@ -124,7 +124,7 @@
 
 // mayLoadFromStore keeps to the store's places and to its rate of loads.
 func (p *Planner) mayLoadFromStore(now time.Time) bool {
-	if p.storeLoads() >= p.places.Places {
+	if p.storeLoads() >= p.places.Estimate {
 		return false
 	}
 	p.starts = slices.DeleteFunc(p.starts, func(t time.Time) bool { return now.Sub(t) > p.opt.RateWindow })
@@ -211,7 +211,7 @@
 	if now.Sub(p.grownAt) < settleFor || now.Before(p.copiesAt) {
 		return nil
 	}
-	free := p.places.Places - keptPlaces - p.storeLoads()
+	free := p.places.Estimate - keptPlaces - p.storeLoads()
 	for _, s := range p.slots {
 		if s.level == Store {
 			free--
--- a/coordination/residency/running.go
+++ b/coordination/residency/running.go
@@ -48,7 +48,7 @@
 		if !(s.daemon == daemon && s.at.Before(told)) && s.at.After(overdue) {
 			return false
 		}
-		if w := p.workers[s.life.ID]; w != nil && w.life.Same(s.life) {
+		if w := p.workers[s.life.ID]; w != nil && w.life.Matches(s.life) {
 			w.sent--
 		}
 		return true
--- a/coordination/residency/schedule.go
+++ b/coordination/residency/schedule.go
@@ -64,7 +64,7 @@
 // sooner than a load from the store takes, and is only looked at where the others are later.
 func (p *Planner) place(d *draft, model string) (slot, bool) {
 	best, cost := p.soonest(d, model, slot{}, 0, func(l Level) bool { return l != Store })
-	if best.w == nil || cost >= p.conf.Engine.Models[model].FromStore {
+	if best.w == nil || cost >= p.conf.Engine.Models[model].LoadFromStore {
 		best, _ = p.soonest(d, model, best, cost, func(l Level) bool { return l == Store })
 	}
 	if best.w == nil {
--- a/coordination/residency/storeplaces.go
+++ b/coordination/residency/storeplaces.go
@@ -7,13 +7,13 @@
 
 // StorePlaces is how many loads the weight store serves at full speed, as was learned.
 // Nothing tells it: beyond that number, all loads in progress take longer in proportion.
-type StorePlaces struct {
+type StoreConcurrency struct {
 	// Places is the present estimate, one or more.
-	Places int
+	Estimate int
 	// Most is the estimate that is not to be exceeded until Again: loads beside so many
 	// were seen to take longer.
-	Most  int
-	Again time.Time
+	Max      int
+	MaxUntil time.Time
 }
 
 const (
@@ -27,13 +27,13 @@
 )
 
 // newStorePlaces returns what is believed before any load was seen.
-func newStorePlaces(first int) StorePlaces {
-	return StorePlaces{Places: max(1, first), Most: math.MaxInt}
+func newStorePlaces(first int) StoreConcurrency {
+	return StoreConcurrency{Estimate: max(1, first), Max: math.MaxInt}
 }
 
 // took learns from a load that took a time, declared at full speed as full, with beside
 // loads going on at a time on average, itself among them. It may not have ended yet.
-func (s *StorePlaces) took(now time.Time, elapsed, full time.Duration, beside float64, ended bool) {
+func (s *StoreConcurrency) took(now time.Time, elapsed, full time.Duration, beside float64, ended bool) {
 	if full <= 0 {
 		return
 	}
@@ -41,14 +41,14 @@
 	switch {
 	case slowdown >= slowLoad:
 		seen := max(1, int(math.Round(beside/slowdown)))
-		if seen < s.Places {
-			s.Places, s.Most, s.Again = seen, seen, now.Add(mostKept)
+		if seen < s.Estimate {
+			s.Estimate, s.Max, s.MaxUntil = seen, seen, now.Add(mostKept)
 		}
 	case !ended:
-	case now.After(s.Again) && s.Most < math.MaxInt:
-		s.Most, s.Again = s.Most+1, now.Add(mostKept)
-	case beside > float64(s.Places)-0.5 && s.Places < s.Most:
-		s.Places++ // all places were taken, and the load was as fast as alone
+	case now.After(s.MaxUntil) && s.Max < math.MaxInt:
+		s.Max, s.MaxUntil = s.Max+1, now.Add(mostKept)
+	case beside > float64(s.Estimate)-0.5 && s.Estimate < s.Max:
+		s.Estimate++ // all places were taken, and the load was as fast as alone
 	}
 }
 
@@ -79,15 +79,15 @@
 	}
 	// What a report tells was true a while ago.
 	took := max(0, elapsed-reportLag)
-	p.places.took(now, took, p.conf.Engine.Models[o.order.Model].FromStore, o.store.beside/elapsed.Seconds(), ended)
+	p.places.took(now, took, p.conf.Engine.Models[o.order.Model].LoadFromStore, o.store.beside/elapsed.Seconds(), ended)
 }
 
 // Places returns what was learned of the weight store.
-func (p *Planner) Places() StorePlaces { return p.places }
+func (p *Planner) StoreConcurrency() StoreConcurrency { return p.places }
 
 // SetPlaces takes what a former coordinator has learned of the weight store.
-func (p *Planner) SetPlaces(places int) {
+func (p *Planner) SetStoreConcurrency(places int) {
 	if places > 0 {
-		p.places.Places = places
+		p.places.Estimate = places
 	}
 }
--- a/coordination/residency/storeplaces_test.go
+++ b/coordination/residency/storeplaces_test.go
@@ -30,9 +30,9 @@
 	for _, places := range []int{1, 2, 4, 9} {
 		w := newWorld(0, 24)
 		w.conf.Models, w.conf.LoadsPerSecond = testEngine(400).Models, 100
-		w.p = New(Options{Holder: "h", StoreAtOnce: 2, RateWindow: 5 * time.Second, RateFactor: 1.1})
+		w.p = New(Options{Holder: "h", InitialStoreConcurrency: 2, RateWindow: 5 * time.Second, RateFactor: 1.1})
 		w.p.Configure(Config{Service: "s", Engine: w.conf})
-		w.p.Lease(w.now, Lease{Held: true, Fence: 1, First: true, OrdersFrom: w.now})
+		w.p.SetLease(w.now, Lease{Held: true, Fence: 1, First: true, OrdersFrom: w.now})
 		w.entries()
 		w.shareStore(places)
 		next := 0
@@ -43,7 +43,7 @@
 			}
 			w.run(time.Second)
 		}
-		if got := w.p.Places().Places; got < places || got > places+1 {
+		if got := w.p.StoreConcurrency().Estimate; got < places || got > places+1 {
 			t.Errorf("with %d places, %d were learned", places, got)
 		}
 	}
--- a/coordination/residency/tell.go
+++ b/coordination/residency/tell.go
@@ -4,7 +4,7 @@
 
 // TellEvery is how often a daemon tells a coordinator what runs and waits, when
 // nothing urges it and they are not so many that TellSoon is longer.
-const TellEvery = 400 * time.Millisecond
+const DemandInterval = 400 * time.Millisecond
 
 const (
 	// tellLeast is the least time after which a daemon tells that a model has
@@ -22,27 +22,29 @@
 
 // TellSoon returns how soon each of so many daemons tells that a model has begun
 // or ceased to run at an endpoint.
-func TellSoon(daemons int) time.Duration {
+func DemandDelay(daemons int) time.Duration {
 	return max(tellLeast, time.Duration(daemons)*time.Second/tellsMost)
 }
 
 // Pace decides when a daemon tells a coordinator of its requests.
-type Pace struct {
+type DemandTimer struct {
 	told time.Time // last
 	due  time.Time
 }
 
 // Told notes that the daemon has told all, and sets when it is due again at the latest.
-func (p *Pace) Told(now time.Time, daemons int) {
-	p.told, p.due = now, now.Add(max(TellEvery, TellSoon(daemons)))
+func (p *DemandTimer) ObserveSent(now time.Time, daemons int) {
+	p.told, p.due = now, now.Add(max(DemandInterval, DemandDelay(daemons)))
 }
 
 // Turned notes that a model has begun or ceased to run at an endpoint.
-func (p *Pace) Turned(now time.Time, daemons int) { p.before(now.Add(TellSoon(daemons))) }
+func (p *DemandTimer) ObserveChange(now time.Time, daemons int) {
+	p.before(now.Add(DemandDelay(daemons)))
+}
 
 // Freed notes that a model has ceased to run at an endpoint that a coordinator has named
 // for it: another may be loaded in its place.
-func (p *Pace) Freed(now time.Time, daemons int) {
+func (p *DemandTimer) ObserveFreed(now time.Time, daemons int) {
 	gap := time.Duration(daemons) * time.Second / freedMost
 	at := now.Add(tellLeast)
 	if earliest := p.told.Add(gap); at.Before(earliest) {
@@ -51,11 +53,11 @@
 	p.before(at)
 }
 
-func (p *Pace) before(at time.Time) {
+func (p *DemandTimer) before(at time.Time) {
 	if at.Before(p.due) {
 		p.due = at
 	}
 }
 
 // Due returns when the daemon is to tell.
-func (p *Pace) Due() time.Time { return p.due }
+func (p *DemandTimer) Due() time.Time { return p.due }
--- a/coordination/residency/tell_test.go
+++ b/coordination/residency/tell_test.go
@@ -22,29 +22,29 @@
 		{195, 100 * time.Millisecond, -1, 0, 225 * time.Millisecond},
 		{375, 0, -1, 0, 625 * time.Millisecond},
 	} {
-		var p Pace
-		p.Told(start, c.daemons)
+		var p DemandTimer
+		p.ObserveSent(start, c.daemons)
 		now := start.Add(c.sinceTold)
 		if c.wantWithin == 400*time.Millisecond {
 			now = start
 		}
 		if c.turned >= 0 {
-			p.Turned(now, c.daemons)
+			p.ObserveChange(now, c.daemons)
 		}
 		if c.freed >= 0 {
-			p.Freed(now, c.daemons)
+			p.ObserveFreed(now, c.daemons)
 		}
 		if got := p.Due().Sub(now); got > c.wantWithin {
 			t.Errorf("%+v: due in %v", c, got)
 		}
 	}
-	var p Pace
+	var p DemandTimer
 	told := 0
 	for now := start; now.Before(start.Add(10 * time.Second)); now = now.Add(5 * time.Millisecond) {
-		p.Freed(now, 195)
+		p.ObserveFreed(now, 195)
 		if !now.Before(p.Due()) {
 			told++
-			p.Told(now, 195)
+			p.ObserveSent(now, 195)
 		}
 	}
 	if most := 10 * freedMost / 195; told > most+1 {
@@ -60,7 +60,7 @@
 	w := newWorld(4, 1)
 	w.engines[0].onDisk["m03"] = true
 	for i := range 195 {
-		w.p.Demand(w.now, fmt.Sprint("d", i), Demand{})
+		w.p.ReceiveDemand(w.now, fmt.Sprint("d", i), Demand{})
 	}
 	w.run(time.Second)
 	var d Demand
@@ -69,17 +69,17 @@
 	}
 	for range 4 { // two seconds of running, told as often as by 195 daemons
 		for i := range 195 {
-			w.p.Demand(w.now, fmt.Sprint("d", i), Demand{})
+			w.p.ReceiveDemand(w.now, fmt.Sprint("d", i), Demand{})
 		}
 		d = Demand{Active: map[string]int{}, Running: map[Place]int{}}
 		for _, m := range []string{"m00", "m01", "m02"} {
 			d.Active[m], d.Running[Place{life("e0"), m}] = 1, 1
 		}
-		w.p.Demand(w.now, "d0", d)
-		w.run(TellSoon(195) - 50*time.Millisecond)
+		w.p.ReceiveDemand(w.now, "d0", d)
+		w.run(DemandDelay(195) - 50*time.Millisecond)
 	}
 	w.p.Want(w.now, Want{Model: "m03"})
-	w.p.Demand(w.now, "d0", Demand{})
+	w.p.ReceiveDemand(w.now, "d0", Demand{})
 	w.run(100 * time.Millisecond)
 	if !w.engines[0].busy || w.engines[0].during.Model != "m03" {
 		t.Fatal("the place is not taken 100 ms after its daemon has told that it is free")
--- a/coordination/residency/types.go
+++ b/coordination/residency/types.go
@@ -37,7 +37,7 @@
 	// Accepted: the engine carries the order out.
 	Accepted Outcome = iota
 	// Holds: the engine is already in the ordered state.
-	Holds
+	AlreadyDone
 	// Busy: another order is in progress, or the engine has accepted orders
 	// that this daemon does not know of.
 	Busy
@@ -56,13 +56,13 @@
 
 // Report is an engine's own word on its state, some hundred milliseconds old.
 type Report struct {
-	Endpoint fleet.Incarnation
-	Sequence uint64 // orders accepted
-	Busy     bool   // an order is in progress
-	Models   []fleet.Loaded
-	Coming   []AdapterRef // adapters on their way
-	InMemory []string
-	OnDisk   []string
+	Endpoint        fleet.Incarnation
+	Sequence        uint64 // orders accepted
+	Busy            bool   // an order is in progress
+	Models          []fleet.LoadedModel
+	LoadingAdapters []AdapterRef // adapters on their way
+	InMemory        []string
+	OnDisk          []string
 }
 
 // AdapterRef names an adapter of a model.
@@ -96,7 +96,7 @@
 	Unreachable bool
 	// Absent is an endpoint that has just said that it does not hold the model
 	// or adapter.
-	Absent fleet.Incarnation
+	MissingAt fleet.Incarnation
 	// Full are endpoints that hold the model and have no room now within the limits that they
 	// name themselves.
 	Full []fleet.Incarnation
@@ -114,7 +114,7 @@
 	Running map[Place]int  // requests that an endpoint was sent and has not ended
 	// First tells how fast endpoints began to answer since the daemon said so
 	// last; adapters count for their model.
-	First map[Place]FirstEvents
+	FirstEvents map[Place]FirstEvents
 }
 
 // FirstEvents counts first events of answers.
@@ -141,10 +141,10 @@
 
 // Reasons of a refused Answer.
 const (
-	RefusedNoHolder  = "no-coordinator"
-	RefusedNoModel   = "unknown-model"
-	RefusedNoRoom    = "no-room"
-	RefusedNoEngines = "no-engines"
+	RefusedNoCoordinator = "no-coordinator"
+	RefusedNoModel       = "unknown-model"
+	RefusedNoRoom        = "no-room"
+	RefusedNoEngines     = "no-engines"
 )
 
 // Options configure a Planner.
@@ -152,7 +152,7 @@
 	Holder string // this host
 	// StoreAtOnce is the number of loads that the weight store is taken to serve at
 	// full speed until loads have shown it.
-	StoreAtOnce int
+	InitialStoreConcurrency int
 	// RateWindow and RateFactor bound the loads from the store that begin
 	// within a window, beside Engine.LoadsPerSecond.
 	RateWindow time.Duration
--- a/coordination/residency/want.go
+++ b/coordination/residency/want.go
@@ -16,7 +16,7 @@
 		return Answer{Refused: RefusedNoModel}
 	}
 	p.wanted(now, want)
-	if !want.Absent.IsZero() {
+	if !want.MissingAt.IsZero() {
 		p.absent(now, want)
 	}
 	if want.Unreachable {
@@ -27,7 +27,7 @@
 		return a
 	}
 	if !p.lease.Held {
-		return Answer{Refused: RefusedNoHolder}
+		return Answer{Refused: RefusedNoCoordinator}
 	}
 	a, ok := p.wantLoad(now, want)
 	if !ok {
@@ -54,7 +54,7 @@
 // absent takes an engine's word that it does not hold what it was thought to.
 // A report has to tell what it does hold.
 func (p *Planner) absent(now time.Time, want Want) {
-	w := p.workerOf(want.Absent)
+	w := p.workerOf(want.MissingAt)
 	if w == nil {
 		return
 	}
@@ -83,7 +83,7 @@
 		}
 		cost, ok := p.residentCost(now, w, r, want)
 		cost += p.loadCost(w)
-		if want.Avoid.Same(w.life) {
+		if want.Avoid.Matches(w.life) {
 			cost += avoidedCost
 		}
 		if ok && (best == nil || cost < bestCost || cost == bestCost && r.lastUse.Before(best.models[want.Model].lastUse)) {
@@ -98,7 +98,7 @@
 	startsIn := p.startsIn(best)
 	p.sentTo(now, best, want.Daemon)
 	a := Answer{Endpoint: best.life, Level: Resident, StartsIn: startsIn, ReadyIn: max(0, r.readyAt.Sub(now))}
-	if want.Avoid.Same(best.life) {
+	if want.Avoid.Matches(best.life) {
 		a.ReadyIn = max(a.ReadyIn, avoidedPause)
 	}
 	if want.Adapter != "" {
@@ -146,7 +146,7 @@
 		n += len(r.adapters)
 	}
 	for _, l := range w.late {
-		if l.order.Adapter != "" && !l.order.Endpoint.Same(w.life) {
+		if l.order.Adapter != "" && !l.order.Endpoint.Matches(w.life) {
 			n++
 		}
 	}
--- a/coordination/rollout/rollout.go
+++ b/coordination/rollout/rollout.go
@@ -78,13 +78,13 @@
 	if len(r.SignOffs) == 0 {
 		return p, Error.New("%s has no sign-off yet", Short(r.Digest))
 	}
-	return p.Follow(Step{
+	return p.MoveTo(Step{
 		Generation: expected + 1, Digest: r.Digest, Author: r.Author, SignedBy: r.SignOffs, RolledBy: by, At: at,
 	}, writeID), nil
 }
 
 // Follow returns the pointer that moves to a step.
-func (p Pointer) Follow(s Step, writeID string) Pointer {
+func (p Pointer) MoveTo(s Step, writeID string) Pointer {
 	next := Pointer{WriteID: writeID, Step: s}
 	if p.Generation > 0 {
 		next.History = append([]Step{p.Step}, p.History...)
--- a/coordination/waiting/margin.go
+++ b/coordination/waiting/margin.go
@@ -10,10 +10,10 @@
 
 // The sources of estimates.
 const (
-	Loaded  Source = iota // the model is loaded, or its load is in progress
-	Near                  // a copy in an engine's host memory or on its disk
-	Far                   // the weight store
-	Vacancy               // nobody coordinates, or no engine has room
+	Loaded      Source = iota // the model is loaded, or its load is in progress
+	Nearby                    // a copy in an engine's host memory or on its disk
+	WeightStore               // the weight store
+	Unscheduled               // nobody coordinates, or no engine has room
 	sources
 )
 
@@ -29,7 +29,7 @@
 )
 
 // startMargins are the margins before anything was observed.
-var startMargins = [sources]time.Duration{Loaded: 500 * time.Millisecond, Near: 1500 * time.Millisecond, Far: 1200 * time.Millisecond, Vacancy: 2 * time.Second}
+var startMargins = [sources]time.Duration{Loaded: 500 * time.Millisecond, Nearby: 1500 * time.Millisecond, WeightStore: 1200 * time.Millisecond, Unscheduled: 2 * time.Second}
 
 // Margins learn by how much the estimates of the time to a model err. They are
 // safe for concurrent use.
--- a/coordination/waiting/waiting.go
+++ b/coordination/waiting/waiting.go
@@ -15,13 +15,13 @@
 	Elapsed  time.Duration // since the request arrived, or its caller got the last event
 	TimeLeft time.Duration // until its deadline
 	Target   time.Duration // its latency objective
-	Patience time.Duration // until its caller leaves, from the same moment as Elapsed
+	MaxWait  time.Duration // until its caller leaves, from the same moment as Elapsed
 	// Begun says that an endpoint has worked on the request, so that it cannot
 	// be refused any more: ended now, it has failed.
-	Begun bool
+	Started bool
 	// Again says that it has waited before, in vain: then it waits only while it can be within
 	// its objective.
-	Again bool
+	WaitedBefore bool
 }
 
 // Decision is what becomes of the request.
@@ -51,10 +51,10 @@
 // waiting in vain costs the caller more the longer it lasts.
 func Decide(in Input) Decision {
 	need := in.ReadyIn + firstEvent
-	if in.Begun {
+	if in.Started {
 		return Decision{Wait: in.lasts(need), RetryAfter: protocol.MinRetryAfter}
 	}
-	if in.Elapsed+need <= in.Target && in.lasts(need) || !in.Again && in.lasts(need+in.Margin) {
+	if in.Elapsed+need <= in.Target && in.lasts(need) || !in.WaitedBefore && in.lasts(need+in.Margin) {
 		return Decision{Wait: true}
 	}
 	back := min(in.ReadyIn+returnMargin, in.TimeLeft/honouredPart)
@@ -62,4 +62,4 @@
 }
 
 // lasts reports whether the caller is still there after a time.
-func (in Input) lasts(t time.Duration) bool { return t < in.TimeLeft && in.Elapsed+t < in.Patience }
+func (in Input) lasts(t time.Duration) bool { return t < in.TimeLeft && in.Elapsed+t < in.MaxWait }
--- a/coordination/waiting/waiting_test.go
+++ b/coordination/waiting/waiting_test.go
@@ -11,7 +11,7 @@
 const ms = time.Millisecond
 
 func TestDecide(t *testing.T) {
-	patient := Input{Margin: time.Second, TimeLeft: 25 * time.Second, Target: 2500 * ms, Patience: 10 * time.Second}
+	patient := Input{Margin: time.Second, TimeLeft: 25 * time.Second, Target: 2500 * ms, MaxWait: 10 * time.Second}
 	cases := []struct {
 		name   string
 		change func(*Input)
@@ -26,10 +26,10 @@
 		{"a load past the patience is not", func(in *Input) { in.ReadyIn = 12 * time.Second }, false, 8 * time.Second, 9 * time.Second},
 		{"what has waited is given up when it will not be served", func(in *Input) { in.ReadyIn, in.Elapsed = 6*time.Second, 4*time.Second }, false, 6 * time.Second, 7 * time.Second},
 		{"who has waited long waits on for what is near", func(in *Input) { in.ReadyIn, in.Elapsed = 1*time.Second, 7*time.Second }, true, 0, 0},
-		{"what has begun waits without the margin", func(in *Input) { in.ReadyIn, in.Margin, in.Begun = 6*time.Second, 9*time.Second, true }, true, 0, 0},
-		{"what has begun does not wait past its caller", func(in *Input) { in.ReadyIn, in.Elapsed, in.Begun = 6*time.Second, 4*time.Second, true }, false, 0, time.Second},
-		{"what has waited in vain waits again within its objective", func(in *Input) { in.ReadyIn, in.Again = 2*time.Second, true }, true, 0, 0},
-		{"what has waited in vain does not wait beyond it", func(in *Input) { in.ReadyIn, in.Again = 3*time.Second, true }, false, 3 * time.Second, 4 * time.Second},
+		{"what has begun waits without the margin", func(in *Input) { in.ReadyIn, in.Margin, in.Started = 6*time.Second, 9*time.Second, true }, true, 0, 0},
+		{"what has begun does not wait past its caller", func(in *Input) { in.ReadyIn, in.Elapsed, in.Started = 6*time.Second, 4*time.Second, true }, false, 0, time.Second},
+		{"what has waited in vain waits again within its objective", func(in *Input) { in.ReadyIn, in.WaitedBefore = 2*time.Second, true }, true, 0, 0},
+		{"what has waited in vain does not wait beyond it", func(in *Input) { in.ReadyIn, in.WaitedBefore = 3*time.Second, true }, false, 3 * time.Second, 4 * time.Second},
 		{"nothing is waited for past the deadline", func(in *Input) { in.ReadyIn, in.TimeLeft = 6*time.Second, 3*time.Second }, false, 100 * ms, time.Second},
 	}
 	for _, c := range cases {
@@ -48,7 +48,7 @@
 	for ready := time.Duration(0); ready < 30*time.Second; ready += 170 * ms {
 		for left := 50 * ms; left < 25*time.Second; left += 490 * ms {
 			for _, margin := range []time.Duration{0, 3 * time.Second} {
-				d := Decide(Input{ReadyIn: ready, Margin: margin, TimeLeft: left, Target: 400 * ms, Patience: 2400 * ms})
+				d := Decide(Input{ReadyIn: ready, Margin: margin, TimeLeft: left, Target: 400 * ms, MaxWait: 2400 * ms})
 				if !d.Wait && (d.RetryAfter < protocol.MinRetryAfter || d.RetryAfter > max(protocol.MinRetryAfter, left/honouredPart)) {
 					t.Fatalf("ready in %v, %v left: %+v", ready, left, d)
 				}
@@ -66,7 +66,7 @@
 	for elapsed := time.Duration(0); elapsed < 8*time.Second; elapsed += 130 * ms {
 		waited := true
 		for ready := time.Duration(0); ready < 12*time.Second; ready += 50 * ms {
-			d := Decide(Input{ReadyIn: ready, Margin: 700 * ms, Elapsed: elapsed, TimeLeft: 13*time.Second - elapsed, Target: 2 * time.Second, Patience: 8 * time.Second})
+			d := Decide(Input{ReadyIn: ready, Margin: 700 * ms, Elapsed: elapsed, TimeLeft: 13*time.Second - elapsed, Target: 2 * time.Second, MaxWait: 8 * time.Second})
 			if d.Wait && !waited {
 				t.Fatalf("after %v a model in %v is waited for, one that comes sooner is not", elapsed, ready)
 			}
@@ -86,16 +86,16 @@
 		late := time.Duration(r.Float64() * float64(3*time.Second))
 		if i > 500 {
 			n++
-			if late <= m.Of(Near) {
+			if late <= m.Of(Nearby) {
 				covered++
 			}
 		}
-		m.Observe(Near, late)
+		m.Observe(Nearby, late)
 	}
 	if part := float64(covered) / float64(n); part < 0.87 || part > 0.93 {
 		t.Fatalf("%.3f are covered", part)
 	}
-	if m.Of(Far) != startMargins[Far] {
+	if m.Of(WeightStore) != startMargins[WeightStore] {
 		t.Fatal("estimates of one kind changed the margin of another")
 	}
 }
@@ -103,15 +103,15 @@
 func TestMarginIsBounded(t *testing.T) {
 	m := NewMargins()
 	for range 200 {
-		m.Observe(Far, time.Hour)
+		m.Observe(WeightStore, time.Hour)
 	}
-	if m.Of(Far) != marginMost {
-		t.Errorf("margin %v", m.Of(Far))
+	if m.Of(WeightStore) != marginMost {
+		t.Errorf("margin %v", m.Of(WeightStore))
 	}
 	for range 1000 {
-		m.Observe(Far, -time.Hour)
+		m.Observe(WeightStore, -time.Hour)
 	}
-	if m.Of(Far) != 0 {
-		t.Errorf("margin %v", m.Of(Far))
+	if m.Of(WeightStore) != 0 {
+		t.Errorf("margin %v", m.Of(WeightStore))
 	}
 }
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -68,10 +68,10 @@
 	gossip      *gossip.Gossip
 	rollout     *rollout.Rollout
 	claimer     *claimer.Claimer
-	keeper      *quarantiner.Keeper
-	quotas      *quotas.Keeper
-	said        *backpressure.Book
-	throttle    *throttle.Keeper
+	keeper      *quarantiner.Controller
+	quotas      *quotas.Controller
+	said        *backpressure.Tracker
+	throttle    *throttle.Controller
 	callers     *callers.Server
 	metrics     tally.Scope
 	reporter    promreporter.Reporter
@@ -118,28 +118,28 @@
 	d.engines = engine.New(engineTimeout)
 	d.peers = peers.NewClient(set.Peers.Token)
 	d.gossip = gossip.New(d.log.Named("gossip"), d.peers, d.seeds, gossip.Options(quotas.StaleFact), d.member())
-	d.rollout = rollout.New(d.log.Part("rollout"), d.platform, d.peers, d.gossip)
+	d.rollout = rollout.New(d.log.Component("rollout"), d.platform, d.peers, d.gossip)
 	d.rollout.OnChange(d.configure)
 	d.claimer = claimer.New(claimer.Options{
 		Self: d.self, Platform: d.platform, Peers: d.peers, Members: d.gossip.Members, Config: d.claimsConfig, Log: d.log.Named("claims"),
 	})
 	d.generations.OnRise(d.claimer.PlatformRestored)
 	d.keeper = quarantiner.New(quarantiner.Options{
-		Self: d.self, Members: d.gossip.Members, Peer: d.peers.Quarantines().To, Endpoint: d.endpointState, Store: d.platform, Generations: d.generations, Log: d.log.Part("quarantine"), Metrics: d.metrics,
+		Self: d.self, Members: d.gossip.Members, Peer: d.peers.Quarantines().To, Endpoint: d.endpointState, Store: d.platform, Generations: d.generations, Log: d.log.Component("quarantine"), Metrics: d.metrics,
 	})
 	d.quotas = quotas.New(quotas.Options{
-		Self: d.self, Members: d.gossip.Members, Revision: d.gossip.Revision, Directory: d.workspaces, Listed: d.endpointListed, Tell: d.gossip.Set, Limited: func(life fleet.Incarnation, w limit.Word) { d.throttle.Limited(life, w) }, Store: d.platform, Generations: d.generations, Peer: d.peers.Quotas().To, Log: d.log.Part("quotas"), Metrics: d.metrics,
+		Self: d.self, Members: d.gossip.Members, Revision: d.gossip.Revision, Directory: d.workspaces, Listed: d.endpointListed, Publish: d.gossip.Set, Limited: func(life fleet.Incarnation, w limit.Report) { d.throttle.SetLimit(life, w) }, Store: d.platform, Generations: d.generations, Peer: d.peers.Quotas().To, Log: d.log.Component("quotas"), Metrics: d.metrics,
 	})
 	d.throttle = throttle.New(throttle.Options{
-		Self: d.self, Book: d.said, Limits: d.quotas.Endpoints(), ReadyAt: func(fleet.Incarnation) time.Time { return time.Time{} },
-		Daemons: func() int { return len(d.gossip.Members()) }, Listed: d.endpointListed, Leaving: func(fleet.Incarnation) {}, Tell: d.gossip.Set, Log: d.log.Part("throttle"), Metrics: d.metrics,
+		Self: d.self, Tracker: d.said, Limits: d.quotas.Endpoints(), LastReady: func(fleet.Incarnation) time.Time { return time.Time{} },
+		Daemons: func() int { return len(d.gossip.Members()) }, Listed: d.endpointListed, OnLeaving: func(fleet.Incarnation) {}, Publish: d.gossip.Set, Log: d.log.Component("throttle"), Metrics: d.metrics,
 	})
-	d.gossip.OnFact(d.quotas.Endpoints().Fact)
+	d.gossip.OnFact(d.quotas.Endpoints().ReceiveFact)
 	d.gates.Store(&map[string]*gate.Gate{})
 	d.setPhase(drain.Serving)
 	d.callers = callers.New(callers.Options{
 		Self: d.self, Limits: set.Limits, Config: d.rollout.Current, Gate: d.gate, Members: d.gossip.Members, Phase: d.Phase,
-		Claimer: d.claimer, Quarantine: d.keeper, Quotas: d.quotas, Throttle: d.throttle, Proxy: proxy.New(set.Limits.AnswerBytes), Log: d.log.Part("callers"), Metrics: d.metrics,
+		Claimer: d.claimer, Quarantine: d.keeper, Quotas: d.quotas, Throttle: d.throttle, Proxy: proxy.New(set.Limits.AnswerBytes), Log: d.log.Component("callers"), Metrics: d.metrics,
 		EndpointLeaving: d.endpointLeaving,
 	})
 	return d, nil
@@ -254,7 +254,7 @@
 	p := d.placers[service]
 	if p == nil {
 		p = placer.New(placer.Options{
-			Group: service, Self: d.self, LeaseTerm: d.set.LeaseTerm.D(), FirstStart: d.set.FirstStart, Generations: d.generations, Platform: d.platform, Engines: d.engines, Roles: (*roles)(d), Log: d.log.Part("placement"),
+			Group: service, Self: d.self, LeaseTerm: d.set.LeaseTerm.D(), FirstStart: d.set.FirstStart, Generations: d.generations, Platform: d.platform, Engines: d.engines, Roles: (*roles)(d), Log: d.log.Component("placement"),
 		})
 		d.placers[service] = p
 		if d.runCtx != nil {
@@ -266,7 +266,7 @@
 
 // endpointClosed reports whether an endpoint takes no requests now, by its own word.
 func (d *Daemon) endpointClosed(e bundle.Endpoint) bool {
-	return !d.said.Silent(e.Name) && d.said.Look(clock.Now(), fleet.Incarnation{ID: e.Name}, backpressure.Ask{}).Closed()
+	return !d.said.HasNoReport(e.Name) && d.said.Peek(clock.Now(), fleet.Incarnation{ID: e.Name}, backpressure.Request{}).Closed()
 }
 
 func (d *Daemon) endpointLeaving(endpoint string) {
@@ -286,7 +286,7 @@
 	d.addServer(&g, 1, peers.Guard(d.set.Peers.Token, d.peerHandler()))
 	d.addServer(&g, 2, operators.New(operators.Options{
 		Tokens: d.set.Operators.Tokens, Rollout: d.rollout, Members: d.gossip.Members, Dump: func() any { return d.Dump() }, Stop: d.Stop,
-		Metrics: d.reporter.HTTPHandler(), Log: d.log.Part("operators"),
+		Metrics: d.reporter.HTTPHandler(), Log: d.log.Component("operators"),
 	}).Handler())
 	d.addActor(&g, ctx, d.gossip.Run)
 	d.addActor(&g, ctx, d.rollout.Run)
@@ -297,7 +297,7 @@
 	d.addActor(&g, ctx, d.runReview)
 	d.log.Info(decisions.EventStart, "callers", d.CallerAddress(), "peers", d.PeerAddress(), "operators", d.OperatorAddress(), "failure_domain", d.set.FailureDomain)
 	err := g.Run()
-	lost, skipped := d.log.Lost()
+	lost, skipped := d.log.Dropped()
 	d.log.Info(decisions.EventStopped, "reason", err, "lines_lost", lost, "lines_skipped", skipped)
 	return err
 }
--- a/daemon/edgedaemon/daemon.go
+++ b/daemon/edgedaemon/daemon.go
@@ -85,9 +85,9 @@
 	peers       *peers.Client
 	balancer    *balance.Balancer
 	budget      *retry.Budget
-	keeper      *quarantiner.Keeper
-	shares      *quotas.Keeper
-	throttle    *throttle.Keeper
+	keeper      *quarantiner.Controller
+	shares      *quotas.Controller
+	throttle    *throttle.Controller
 	callers     *edge.Server
 	metrics     tally.Scope
 	reporter    promreporter.Reporter
@@ -122,7 +122,7 @@
 		lastSent: map[string]int{}, stopped: make(chan struct{}),
 		peers: peers.NewClient(""), balancer: balance.New(set.FailureDomain, uint64(time.Now().UnixNano()), said),
 		budget:    retry.NewEarnedBudget(set.Retries.Ratio * retryPart),
-		vacancies: vacancies{takeover: coordinator.Takeover(set.Timing.OrderGap.D())},
+		vacancies: vacancies{takeover: coordinator.TakeoverTime(set.Timing.OrderGap.D())},
 	}
 	d.fleets = d.peers.Fleets()
 	if err := d.listen(); err != nil {
@@ -138,22 +138,22 @@
 	d.engines = platform.NewEngineClient(engineTimeout, d.engineSaid)
 	d.view = storeview.New(storeview.Options{
 		Store: d.store, Decode: platform.DecodeDesiredState, Log: log, Self: d.self, Peer: d.anyPeer, Upstreams: d.upstreams,
-		Within: min(set.Timing.LeaveWithin.D(), set.Timing.ApplyWithin.D()), Heartbeat: set.Timing.EndpointHeartbeat.D(), Generations: d.generations, Metrics: d.metrics,
+		PropagationBound: min(set.Timing.LeaveWithin.D(), set.Timing.ApplyWithin.D()), Heartbeat: set.Timing.EndpointHeartbeat.D(), Generations: d.generations, Metrics: d.metrics,
 	})
 	d.view.OnChange(d.changed)
 	d.gossip = gossip.New(hclog.NewNullLogger(), d.peers, d.seeds, gossip.Options(staleFact), d.member())
 	d.keeper = quarantiner.New(quarantiner.Options{
-		Self: d.self, Members: d.alive, Peer: d.peers.Quarantines().To, Endpoint: d.endpointState, Ended: func(life fleet.Incarnation) { d.balancer.Gone(clock.Now(), life) }, Store: d.store, Generations: d.generations, Log: log, Metrics: d.metrics,
+		Self: d.self, Members: d.alive, Peer: d.peers.Quarantines().To, Endpoint: d.endpointState, OnCrash: func(life fleet.Incarnation) { d.balancer.MarkUnreachable(clock.Now(), life) }, Store: d.store, Generations: d.generations, Log: log, Metrics: d.metrics,
 	})
 	d.shares = quotas.New(quotas.Options{
-		Self: d.self, Bounds: quota.Bounds{Window: set.Quotas.Window.D(), Overage: set.Quotas.Overage, Slack: set.Quotas.Slack, Young: quota.YoungPart},
-		Members: d.gossip.Members, Revision: d.gossip.Revision, Directory: d.workspaces, Listed: d.endpointListed, Tell: d.gossip.Set, Limited: d.endpointLimited, Store: d.store, Generations: d.generations, Peer: d.peers.Quotas().To, Log: log, Metrics: d.metrics,
+		Self: d.self, Bounds: quota.Bounds{Window: set.Quotas.Window.D(), Overage: set.Quotas.Overage, Slack: set.Quotas.Slack, NewOwnerShare: quota.DefaultNewOwnerShare},
+		Members: d.gossip.Members, Revision: d.gossip.Revision, Directory: d.workspaces, Listed: d.endpointListed, Publish: d.gossip.Set, Limited: d.endpointLimited, Store: d.store, Generations: d.generations, Peer: d.peers.Quotas().To, Log: log, Metrics: d.metrics,
 	})
 	d.throttle = throttle.New(throttle.Options{
-		Self: d.self, Book: said, Limits: d.shares.Endpoints(), ReadyAt: d.endpointReadyAt, Daemons: func() int { return len(d.alive()) }, Listed: d.endpointListed, Leaving: d.view.EndpointLeaving, Tell: d.gossip.Set, Log: log, Metrics: d.metrics,
+		Self: d.self, Tracker: said, Limits: d.shares.Endpoints(), LastReady: d.endpointReadyAt, Daemons: func() int { return len(d.alive()) }, Listed: d.endpointListed, OnLeaving: d.view.ObserveLeaving, Publish: d.gossip.Set, Log: log, Metrics: d.metrics,
 	})
-	d.gossip.OnFact(d.shares.Endpoints().Fact)
-	d.gossip.OnFact(d.throttle.Fact)
+	d.gossip.OnFact(d.shares.Endpoints().ReceiveFact)
+	d.gossip.OnFact(d.throttle.ReceiveFact)
 	d.callers = edge.New(edge.Options{
 		StateAge: d.stateAge, Access: access.Bounds{Apply: set.Timing.ApplyWithin.D(), Revoke: set.Timing.RevokeWithin.D()}, Quotas: d.shares, Throttle: d.throttle,
 		Table: d.view.Table, View: d.view.Endpoints, ViewAge: d.endpointsAge, Draining: d.draining, Ends: d.ends, Dialect: platform.Dialect{}, Locator: d, Balancer: d.balancer,
@@ -212,7 +212,7 @@
 // changed brings a new desired state or new endpoints to the coordinators.
 func (d *Daemon) changed() {
 	table, view := d.view.Table(), d.view.Endpoints()
-	d.balancer.Keep(view)
+	d.balancer.Retain(view)
 	if table == nil {
 		return
 	}
@@ -223,7 +223,7 @@
 		}
 		c := d.coordinatorFor(name)
 		c.Configure(svc.Engine)
-		c.Endpoints(view.ByService[name])
+		c.SetEndpoints(view.ByService[name])
 	}
 }
 
@@ -246,11 +246,11 @@
 	}
 	c = coordinator.New(coordinator.Options{
 		Service: service, Self: d.set.Listen.Peers, Lease: leaserelay.New(d.store, d.leasePeers, d.generations, d.log), Engines: d.engines, OrderGap: d.set.Timing.OrderGap.D(),
-		Planner:   residency.Options{StoreAtOnce: d.set.Loads.AtOnce, RateWindow: d.set.Loads.Window.D(), RateFactor: d.set.Loads.Factor},
-		Candidate: d.candidate, Held: d.holderChanged, Heard: d.leaseHeard, FirstStart: d.set.FirstStart, Places: d.storePlaces, PlacesLearned: d.storePlacesLearned, Log: d.log, Metrics: d.metrics,
+		Planner:   residency.Options{InitialStoreConcurrency: d.set.Loads.AtOnce, RateWindow: d.set.Loads.Window.D(), RateFactor: d.set.Loads.Factor},
+		Candidate: d.candidate, OnLeaseChange: d.holderChanged, PeerState: d.leaseHeard, FirstStart: d.set.FirstStart, StoreConcurrency: d.storePlaces, OnStoreConcurrency: d.storePlacesLearned, Log: d.log, Metrics: d.metrics,
 	})
 	for life, w := range d.shares.Endpoints().Limited() {
-		c.Limited(life, w)
+		c.SetLimit(life, w)
 	}
 	d.coordinators[service] = c
 	if d.runCtx != nil {
@@ -289,7 +289,7 @@
 	}
 	d.log.Info(decisions.EventStart, "daemon", d.self, "callers", d.set.Listen.Callers, "peers", d.set.Listen.Peers, "failure_domain", d.set.FailureDomain, "store", d.set.Store.Address)
 	err := g.Run()
-	lost, skipped := d.log.Lost()
+	lost, skipped := d.log.Dropped()
 	d.log.Info(decisions.EventStopped, "daemon", d.self, "reason", err, "lines_lost", lost, "lines_skipped", skipped)
 	return err
 }
--- a/daemon/edgedaemon/demand.go
+++ b/daemon/edgedaemon/demand.go
@@ -12,8 +12,8 @@
 // runDemand tells the coordinators of this daemon's requests, until ctx ends.
 func (d *Daemon) runDemand(ctx context.Context) error {
 	alive := len(d.alive())
-	var pace residency.Pace
-	pace.Told(time.Now(), alive)
+	var pace residency.DemandTimer
+	pace.ObserveSent(time.Now(), alive)
 	due := time.NewTimer(0)
 	defer due.Stop()
 	for {
@@ -22,17 +22,17 @@
 		case <-ctx.Done():
 			return nil
 		case <-d.callers.DemandTurned():
-			pace.Turned(time.Now(), alive)
+			pace.ObserveChange(time.Now(), alive)
 		case <-d.callers.PlaceFreed():
-			pace.Freed(time.Now(), alive)
+			pace.ObserveFreed(time.Now(), alive)
 		case <-due.C:
 			alive = len(d.alive())
 			d.shareRetries(alive)
-			d.balancer.Share(alive)
+			d.balancer.SetDaemons(alive)
 			for service, demand := range d.callers.Demand() {
 				d.tellDemand(ctx, service, demand, alive)
 			}
-			pace.Told(time.Now(), alive)
+			pace.ObserveSent(time.Now(), alive)
 		}
 	}
 }
@@ -54,9 +54,9 @@
 		return
 	}
 	d.lastSent[service] = len(demand.Active)
-	mine := d.balancer.Own()
+	mine := d.balancer.OwnRunning()
 	if own := d.coordinates(service); own != nil && own.Holds() {
-		own.Demand(d.self, demand)
+		own.ReceiveDemand(d.self, demand)
 		d.toldRunning(service, own.Running(), mine, alive)
 		return
 	}
@@ -69,11 +69,11 @@
 		req.Active[model] = int32(n)
 	}
 	for place, n := range demand.Running {
-		first := demand.First[place]
-		delete(demand.First, place)
+		first := demand.FirstEvents[place]
+		delete(demand.FirstEvents, place)
 		req.Running = append(req.Running, runningAt(place, n, first))
 	}
-	for place, first := range demand.First {
+	for place, first := range demand.FirstEvents {
 		req.Running = append(req.Running, runningAt(place, 0, first))
 	}
 	ctx, cancel := context.WithTimeout(ctx, wantTimeout)
@@ -88,7 +88,7 @@
 
 func runningAt(place residency.Place, requests int, first residency.FirstEvents) *fleetpb.Running {
 	return &fleetpb.Running{
-		Endpoint: place.Endpoint.ID, Born: place.Endpoint.Born, Model: place.Model, Requests: int32(requests),
+		Endpoint: place.Endpoint.ID, Born: place.Endpoint.StartUnixMs, Model: place.Model, Requests: int32(requests),
 		FirstEvents: int32(first.Count), Slow: int32(first.Slow), Rank: int32(first.Rank),
 	}
 }
@@ -97,19 +97,19 @@
 func (s *fleetServer) Demand(_ context.Context, req *fleetpb.DemandRequest) (*fleetpb.DemandResponse, error) {
 	if c := (*Daemon)(s).coordinates(req.Service); c != nil {
 		demand := residency.Demand{
-			Active: make(map[string]int, len(req.Active)), Running: make(map[residency.Place]int, len(req.Running)), First: map[residency.Place]residency.FirstEvents{},
+			Active: make(map[string]int, len(req.Active)), Running: make(map[residency.Place]int, len(req.Running)), FirstEvents: map[residency.Place]residency.FirstEvents{},
 		}
 		for model, n := range req.Active {
 			demand.Active[model] = int(n)
 		}
 		for _, r := range req.Running {
-			place := residency.Place{Endpoint: fleet.Incarnation{ID: r.Endpoint, Born: r.Born}, Model: r.Model}
+			place := residency.Place{Endpoint: fleet.Incarnation{ID: r.Endpoint, StartUnixMs: r.Born}, Model: r.Model}
 			demand.Running[place] = int(r.Requests)
 			if r.FirstEvents > 0 {
-				demand.First[place] = residency.FirstEvents{Count: int(r.FirstEvents), Slow: int(r.Slow), Rank: int(r.Rank)}
+				demand.FirstEvents[place] = residency.FirstEvents{Count: int(r.FirstEvents), Slow: int(r.Slow), Rank: int(r.Rank)}
 			}
 		}
-		c.Demand(req.Daemon, demand)
+		c.ReceiveDemand(req.Daemon, demand)
 		if c.Holds() {
 			return packRunning(c.Running()), nil
 		}
--- a/daemon/edgedaemon/leases.go
+++ b/daemon/edgedaemon/leases.go
@@ -30,8 +30,8 @@
 
 // leaseHeard returns what this daemon has heard of the store's generation and of the fences of a
 // service's lease.
-func (d *Daemon) leaseHeard(service string) lease.Heard {
-	h := lease.Heard{Generation: d.generations.Highest()}
+func (d *Daemon) leaseHeard(service string) lease.PeerState {
+	h := lease.PeerState{Generation: d.generations.Highest()}
 	if e, ok := d.gossip.Get(holderPrefix + service); ok {
 		h.Fence = e.Version
 	}
--- a/daemon/edgedaemon/metrics.go
+++ b/daemon/edgedaemon/metrics.go
@@ -45,10 +45,10 @@
 		g.desiredVersion.Update(float64(table.Version))
 	}
 	g.endpoints.Update(float64(len(d.view.Endpoints().ByID)))
-	g.unusable.Update(float64(d.view.Unusable()))
+	g.unusable.Update(float64(d.view.UnusableCount()))
 	g.inProgress.Update(float64(d.callers.InProgress()))
 	g.members.Update(float64(len(d.alive())))
-	lost, skipped := d.log.Lost()
+	lost, skipped := d.log.Dropped()
 	g.linesLost.Update(float64(lost))
 	g.linesSkipped.Update(float64(skipped))
 }
--- a/daemon/edgedaemon/peers.go
+++ b/daemon/edgedaemon/peers.go
@@ -36,13 +36,13 @@
 // candidate reports whether this daemon should try to hold a service's lease. A
 // former holder should, whatever the others: it is the same one to engines.
 func (d *Daemon) candidate(service string, former bool) bool {
-	if d.draining() || d.view.Silent(clock.Now()) {
+	if d.draining() || d.view.StoreUnresponsive(clock.Now()) {
 		return false
 	}
 	if former {
 		return true
 	}
-	ranked := membership.Ablest(service, d.alive())
+	ranked := membership.RendezvousByCapacity(service, d.alive())
 	for i := range min(candidates, len(ranked)) {
 		if ranked[i].ID == d.self {
 			return true
@@ -85,7 +85,7 @@
 	}
 	places, err := strconv.Atoi(string(e.Value))
 	if err != nil {
-		d.log.Warn(decisions.EventStorePlaces, "service", service, "error", err)
+		d.log.Warn(decisions.EventStoreConcurrency, "service", service, "error", err)
 		return 0
 	}
 	return places
@@ -128,24 +128,24 @@
 }
 
 // stateAge returns how old the desired state in force may be.
-func (d *Daemon) stateAge() time.Duration { return d.view.ProvenAge() }
+func (d *Daemon) stateAge() time.Duration { return d.view.StalenessBound() }
 
 // endpointState reports whether an endpoint is listed, and as leaving.
 func (d *Daemon) endpointState(life fleet.Incarnation) (listed, leaving bool) {
-	e := d.view.Endpoints().Of(life)
+	e := d.view.Endpoints().Find(life)
 	return e != nil, e != nil && e.Leaving
 }
 
 // endpointListed reports whether an endpoint is listed in some life.
 func (d *Daemon) endpointListed(life fleet.Incarnation) bool {
-	return d.view.Endpoints().Of(life) != nil
+	return d.view.Endpoints().Find(life) != nil
 }
 
 // endpointReadyAt returns up to when an endpoint is known to be listed as one that stays; zero if
 // it is not. While nobody hears from the store that is now: it cannot have taken its word.
 func (d *Daemon) endpointReadyAt(life fleet.Incarnation) time.Time {
 	now := clock.Now()
-	e := d.view.Endpoints().Of(life)
+	e := d.view.Endpoints().Find(life)
 	age := d.endpointsAge()
 	switch {
 	case e == nil || e.Leaving:
@@ -159,10 +159,10 @@
 // engineSaid takes what an engine says of itself in an answer to this daemon's coordinators.
 func (d *Daemon) engineSaid(life fleet.Incarnation, says protocol.Backpressure) {
 	slots := 1
-	if e := d.view.Endpoints().Of(life); e != nil {
+	if e := d.view.Endpoints().Find(life); e != nil {
 		slots = e.Slots
 	}
-	d.throttle.Heard(throttle.Answer{Life: life, Slots: slots, Sent: clock.Now(), Says: says})
+	d.throttle.ObserveAnswer(throttle.Answer{Incarnation: life, Slots: slots, Sent: clock.Now(), Signals: says})
 }
 
 // staleFact reports whether a fact is too old to be kept.
@@ -202,12 +202,12 @@
 func (d *Daemon) Want(ctx context.Context, service string, w residency.Want) residency.Answer {
 	w.Daemon = d.self
 	a := d.ask(ctx, service, w)
-	if a.Refused != residency.RefusedNoHolder {
+	if a.Refused != residency.RefusedNoCoordinator {
 		d.vacancies.filled(service)
 		return a
 	}
 	now := time.Now()
-	a.ReadyIn = d.vacancies.readyIn(now, service, d.view.StoreAway(clock.Now()))
+	a.ReadyIn = d.vacancies.readyIn(now, service, d.view.StoreOutage(clock.Now()))
 	return a
 }
 
@@ -219,22 +219,22 @@
 		return own.Want(w)
 	}
 	if address == "" || d.holders.silent(address, time.Now()) {
-		return residency.Answer{Refused: residency.RefusedNoHolder}
+		return residency.Answer{Refused: residency.RefusedNoCoordinator}
 	}
 	caller := ctx
 	ctx, cancel := context.WithTimeout(ctx, wantTimeout)
 	defer cancel()
-	resp, err := d.fleet(address).Want(ctx, &fleetpb.WantRequest{Service: service, Model: w.Model, Adapter: w.Adapter, Rank: int32(w.Rank), Avoid: w.Avoid.ID, AvoidBorn: w.Avoid.Born, Unreachable: w.Unreachable, Absent: w.Absent.ID, AbsentBorn: w.Absent.Born, Daemon: w.Daemon, Full: livesToWire(w.Full)})
+	resp, err := d.fleet(address).Want(ctx, &fleetpb.WantRequest{Service: service, Model: w.Model, Adapter: w.Adapter, Rank: int32(w.Rank), Avoid: w.Avoid.ID, AvoidBorn: w.Avoid.StartUnixMs, Unreachable: w.Unreachable, Absent: w.MissingAt.ID, AbsentBorn: w.MissingAt.StartUnixMs, Daemon: w.Daemon, Full: livesToWire(w.Full)})
 	if err != nil {
 		if caller.Err() == nil && d.holders.failed(address, time.Now()) {
 			d.log.Warn(decisions.EventDependencyLost, "dependency", "coordinator", "service", service, "holder", address, "error", err)
 		}
-		return residency.Answer{Refused: residency.RefusedNoHolder}
+		return residency.Answer{Refused: residency.RefusedNoCoordinator}
 	}
 	if d.holders.answered(address) {
-		d.log.Info(decisions.EventDependencyBack, "dependency", "coordinator", "service", service, "holder", address)
+		d.log.Info(decisions.EventDependencyRegained, "dependency", "coordinator", "service", service, "holder", address)
 	}
-	return residency.Answer{Endpoint: fleet.Incarnation{ID: resp.Endpoint, Born: resp.Born}, ReadyIn: time.Duration(resp.ReadyInMs) * time.Millisecond, StartsIn: time.Duration(resp.StartsInMs) * time.Millisecond, Level: residency.Level(resp.Level), Refused: resp.Refused}
+	return residency.Answer{Endpoint: fleet.Incarnation{ID: resp.Endpoint, StartUnixMs: resp.Born}, ReadyIn: time.Duration(resp.ReadyInMs) * time.Millisecond, StartsIn: time.Duration(resp.StartsInMs) * time.Millisecond, Level: residency.Level(resp.Level), Refused: resp.Refused}
 }
 
 // fleetServer serves fleetpb.Fleet.
@@ -244,20 +244,20 @@
 func (s *fleetServer) Want(_ context.Context, req *fleetpb.WantRequest) (*fleetpb.WantResponse, error) {
 	c := (*Daemon)(s).coordinates(req.Service)
 	if c == nil {
-		return &fleetpb.WantResponse{Refused: residency.RefusedNoHolder}, nil
+		return &fleetpb.WantResponse{Refused: residency.RefusedNoCoordinator}, nil
 	}
 	a := c.Want(residency.Want{
 		Model: req.Model, Adapter: req.Adapter, Rank: int(req.Rank), Unreachable: req.Unreachable, Daemon: req.Daemon,
-		Avoid: fleet.Incarnation{ID: req.Avoid, Born: req.AvoidBorn}, Absent: fleet.Incarnation{ID: req.Absent, Born: req.AbsentBorn},
+		Avoid: fleet.Incarnation{ID: req.Avoid, StartUnixMs: req.AvoidBorn}, MissingAt: fleet.Incarnation{ID: req.Absent, StartUnixMs: req.AbsentBorn},
 		Full: livesFromWire(req.Full),
 	})
-	return &fleetpb.WantResponse{Endpoint: a.Endpoint.ID, Born: a.Endpoint.Born, ReadyInMs: ceilMs(a.ReadyIn), StartsInMs: ceilMs(a.StartsIn), Level: int32(a.Level), Refused: a.Refused}, nil
+	return &fleetpb.WantResponse{Endpoint: a.Endpoint.ID, Born: a.Endpoint.StartUnixMs, ReadyInMs: ceilMs(a.ReadyIn), StartsInMs: ceilMs(a.StartsIn), Level: int32(a.Level), Refused: a.Refused}, nil
 }
 
 func livesToWire(list []fleet.Incarnation) []*fleetpb.Life {
 	out := make([]*fleetpb.Life, len(list))
 	for i, life := range list {
-		out[i] = &fleetpb.Life{Endpoint: life.ID, Born: life.Born}
+		out[i] = &fleetpb.Life{Endpoint: life.ID, Born: life.StartUnixMs}
 	}
 	return out
 }
@@ -265,18 +265,18 @@
 func livesFromWire(list []*fleetpb.Life) []fleet.Incarnation {
 	out := make([]fleet.Incarnation, len(list))
 	for i, life := range list {
-		out[i] = fleet.Incarnation{ID: life.Endpoint, Born: life.Born}
+		out[i] = fleet.Incarnation{ID: life.Endpoint, StartUnixMs: life.Born}
 	}
 	return out
 }
 
 // endpointLimited brings the limit that an endpoint names to what chooses endpoints.
-func (d *Daemon) endpointLimited(life fleet.Incarnation, w limit.Word) {
-	d.throttle.Limited(life, w)
+func (d *Daemon) endpointLimited(life fleet.Incarnation, w limit.Report) {
+	d.throttle.SetLimit(life, w)
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, c := range d.coordinators {
-		c.Limited(life, w)
+		c.SetLimit(life, w)
 	}
 }
 
--- a/daemon/edgedaemon/running.go
+++ b/daemon/edgedaemon/running.go
@@ -34,7 +34,7 @@
 
 func addLife(name *xxhash.Digest, life fleet.Incarnation) {
 	var born [8]byte
-	binary.LittleEndian.PutUint64(born[:], uint64(life.Born))
+	binary.LittleEndian.PutUint64(born[:], uint64(life.StartUnixMs))
 	_, _ = name.WriteString(life.ID) // never fails
 	_, _ = name.Write(born[:])       // never fails
 }
@@ -75,7 +75,7 @@
 	digest := xxhash.New()
 	lives := make([]fleet.Incarnation, len(present))
 	for i, e := range present {
-		lives[i] = e.Life()
+		lives[i] = e.Incarnation()
 		addLife(digest, lives[i])
 	}
 	name := digest.Sum64()
@@ -97,6 +97,6 @@
 	for _, r := range list {
 		all[r.Endpoint] = r.Requests
 	}
-	each := max(residency.TellEvery, residency.TellSoon(alive))
-	d.balancer.Told(service, clock.Now().Add(-each/2), all, mine)
+	each := max(residency.DemandInterval, residency.DemandDelay(alive))
+	d.balancer.ReceiveRunning(service, clock.Now().Add(-each/2), all, mine)
 }
--- a/daemon/edgedaemon/running_test.go
+++ b/daemon/edgedaemon/running_test.go
@@ -12,9 +12,9 @@
 
 func endpointsBorn(born int64, n int) (list []*fleet.Endpoint, running []residency.Running) {
 	for i := range n {
-		e := &fleet.Endpoint{ID: fmt.Sprintf("e%03d", i), Born: born}
+		e := &fleet.Endpoint{ID: fmt.Sprintf("e%03d", i), StartUnixMs: born}
 		list = append(list, e)
-		running = append(running, residency.Running{Endpoint: e.Life(), Requests: i})
+		running = append(running, residency.Running{Endpoint: e.Incarnation(), Requests: i})
 	}
 	return list, running
 }
--- a/daemon/reporter.go
+++ b/daemon/reporter.go
@@ -160,7 +160,7 @@
 
 func unitDemand(now time.Time, u activeUnit) *peerpb.UnitDemand {
 	rep := u.gate.Report()
-	d := &peerpb.UnitDemand{Unit: u.name, InFlight: rep.InFlight, Arrivals: rep.Arrivals, Shut: rep.Shut, ShutWorth: rep.ShutWorth}
+	d := &peerpb.UnitDemand{Unit: u.name, InFlight: rep.InFlight, Arrivals: rep.Arrivals, Shut: rep.Unavailable, ShutWorth: rep.UnavailableWorth}
 	for _, it := range rep.Waiting { // best first, so equal worths are neighbours
 		n := len(d.Waiting)
 		if n > 0 && d.Waiting[n-1].Worth == it.Worth {
@@ -206,7 +206,7 @@
 // whose time to come back is -wait-1.
 func estimateFrom(waitMs int64, reason string) admission.Estimate {
 	if reason != "" {
-		return admission.Estimate{Refuse: reason, After: time.Duration(-waitMs-1) * time.Millisecond}
+		return admission.Estimate{RefuseReason: reason, RetryAfter: time.Duration(-waitMs-1) * time.Millisecond}
 	}
 	return admission.Estimate{Ready: time.Duration(waitMs) * time.Millisecond}
 }
--- a/daemon/roles.go
+++ b/daemon/roles.go
@@ -111,7 +111,7 @@
 
 // Held implements placer.Roles. The fact's version orders a release after the
 // hold of the same fence, and both before the next fence.
-func (r *roles) Held(group string, fence uint64, held bool) {
+func (r *roles) AnnounceHolder(group string, fence uint64, held bool) {
 	f := leaseFact{Holder: r.self}
 	version := versionsPerFence * fence
 	if !held {
--- a/driver/claimer/claimer.go
+++ b/driver/claimer/claimer.go
@@ -131,7 +131,7 @@
 	c.mu.Unlock()
 	for _, s := range shards {
 		s.mu.Lock()
-		s.step(claims.Heard{Generation: generation})
+		s.step(claims.GenerationUpdate{Generation: generation})
 		s.mu.Unlock()
 	}
 }
--- a/driver/coordinator/coordinator.go
+++ b/driver/coordinator/coordinator.go
@@ -45,7 +45,7 @@
 
 // Takeover returns how long a service is without orders after its coordinator
 // has died, when its successor must leave a gap between their orders.
-func Takeover(orderGap time.Duration) time.Duration { return leaseTerm + orderGap + orderSlack }
+func TakeoverTime(orderGap time.Duration) time.Duration { return leaseTerm + orderGap + orderSlack }
 
 // LeaseStore keeps the lease.
 type LeaseStore interface {
@@ -73,15 +73,15 @@
 	// says that the lease's record names this host.
 	Candidate func(service string, former bool) bool
 	// Held is told when this daemon takes or loses the lease.
-	Held func(service string, fence uint64, held bool)
+	OnLeaseChange func(service string, fence uint64, held bool)
 	// Heard returns what this daemon has heard of the store's generation and of the lease's fences.
-	Heard func(service string) lease.Heard
+	PeerState func(service string) lease.PeerState
 	// FirstStart says that the whole system starts for the first time.
 	FirstStart bool
 	// Places returns how many loads at once the weight store was learned to serve, by
 	// this or a former coordinator, zero if nobody knows; PlacesLearned is told of it.
-	Places        func(service string) int
-	PlacesLearned func(service string, fence uint64, places int)
+	StoreConcurrency   func(service string) int
+	OnStoreConcurrency func(service string, fence uint64, places int)
 	// Clock goes on while the host is suspended, so that the lease lapses meanwhile; nil:
 	// the system's.
 	Clock   clock.Clock
@@ -114,8 +114,8 @@
 	if opt.Clock == nil {
 		opt.Clock = clock.Now
 	}
-	if opt.Heard == nil {
-		opt.Heard = func(string) lease.Heard { return lease.Heard{} }
+	if opt.PeerState == nil {
+		opt.PeerState = func(string) lease.PeerState { return lease.PeerState{} }
 	}
 	m := opt.Metrics.SubScope("coordinator")
 	return &Coordinator{
@@ -135,21 +135,21 @@
 }
 
 // Endpoints takes the present view.
-func (c *Coordinator) Endpoints(list []*fleet.Endpoint) {
+func (c *Coordinator) SetEndpoints(list []*fleet.Endpoint) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	clear(c.addresses)
 	for _, e := range list {
 		c.addresses[e.ID] = e.Address
 	}
-	c.plan.Endpoints(c.opt.Clock(), list)
+	c.plan.SetEndpoints(c.opt.Clock(), list)
 	c.wake()
 }
 
 // Limited takes the limit that an engine names, or that it names none any more.
-func (c *Coordinator) Limited(life fleet.Incarnation, w limit.Word) {
+func (c *Coordinator) SetLimit(life fleet.Incarnation, w limit.Report) {
 	c.mu.Lock()
-	c.plan.Limited(life, w)
+	c.plan.SetLimit(life, w)
 	c.mu.Unlock()
 	c.wake()
 }
@@ -168,10 +168,10 @@
 }
 
 // Demand takes what a daemon says of its requests.
-func (c *Coordinator) Demand(daemon string, d residency.Demand) {
+func (c *Coordinator) ReceiveDemand(daemon string, d residency.Demand) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.plan.Demand(c.opt.Clock(), daemon, d)
+	c.plan.ReceiveDemand(c.opt.Clock(), daemon, d)
 }
 
 // Running returns what runs at each engine, by what all daemons have told lately.
@@ -192,7 +192,7 @@
 func (c *Coordinator) Holder() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.lease.Seen().Holder
+	return c.lease.LastRecord().Holder
 }
 
 // Run passes time on until ctx ends.
@@ -238,19 +238,19 @@
 // tellPlaces tells what was learned of the weight store, when that has changed. The
 // caller holds the mutex.
 func (c *Coordinator) tellPlaces() {
-	learned := c.plan.Places()
-	if learned.Places == c.places {
+	learned := c.plan.StoreConcurrency()
+	if learned.Estimate == c.places {
 		return
 	}
 	fence, _ := c.lease.Holds(c.opt.Clock())
-	c.opt.Log.Info(decisions.EventStorePlaces, "service", c.opt.Service, "places", learned.Places, "before", c.places)
-	c.places = learned.Places
-	go c.opt.PlacesLearned(c.opt.Service, fence, learned.Places)
+	c.opt.Log.Info(decisions.EventStoreConcurrency, "service", c.opt.Service, "places", learned.Estimate, "before", c.places)
+	c.places = learned.Estimate
+	go c.opt.OnStoreConcurrency(c.opt.Service, fence, learned.Estimate)
 }
 
 func (c *Coordinator) stepLease(ctx context.Context, now time.Time) {
 	c.lease.Step(now, lease.Candidate{Yes: c.opt.Candidate(c.opt.Service, c.wasHolder())})
-	c.lease.Step(now, c.opt.Heard(c.opt.Service))
+	c.lease.Step(now, c.opt.PeerState(c.opt.Service))
 	r := c.lease.Ready(now)
 	switch {
 	case r.Read:
@@ -270,7 +270,7 @@
 // wasHolder reports whether this host is the one that the lease's record names,
 // as after a restart of its daemon. It is the same holder to engines, and may
 // order at once where another would have to wait; the caller holds the mutex.
-func (c *Coordinator) wasHolder() bool { return c.lease.Seen().Holder == c.opt.Self }
+func (c *Coordinator) wasHolder() bool { return c.lease.LastRecord().Holder == c.opt.Self }
 
 // leaseChanged begins or ends the giving of orders. The caller holds the
 // mutex.
@@ -278,16 +278,16 @@
 	c.held = held
 	c.metrics.leases.Inc(1)
 	from := now
-	if held && !c.lease.First() && c.former != c.opt.Self {
+	if held && !c.lease.FirstHold() && c.former != c.opt.Self {
 		from = now.Add(c.opt.OrderGap + orderSlack)
 	}
 	if held {
-		c.places = c.opt.Places(c.opt.Service)
-		c.plan.SetPlaces(c.places)
+		c.places = c.opt.StoreConcurrency(c.opt.Service)
+		c.plan.SetStoreConcurrency(c.places)
 	}
-	c.plan.Lease(now, residency.Lease{Held: held, Fence: fence, First: c.lease.First(), OrdersFrom: from})
+	c.plan.SetLease(now, residency.Lease{Held: held, Fence: fence, First: c.lease.FirstHold(), OrdersFrom: from})
 	c.opt.Log.Info(decisions.EventLease, "service", c.opt.Service, "held", held, "fence", fence, "former", c.former, "orders_in_ms", from.Sub(now).Milliseconds())
-	go c.opt.Held(c.opt.Service, fence, held)
+	go c.opt.OnLeaseChange(c.opt.Service, fence, held)
 }
 
 func (c *Coordinator) readLease(ctx context.Context) {
@@ -329,11 +329,11 @@
 		outcome, err = c.opt.Engines.Order(ctx, o)
 	}
 	c.opt.Metrics.Tagged(map[string]string{"outcome": outcome.String()}).SubScope("coordinator").Counter("orders_total").Inc(1)
-	c.opt.Log.Info(decisions.EventOrder, "endpoint", o.Endpoint.ID, "born", o.Endpoint.Born, "unload", o.Unload, "model", o.Model, "adapter", o.Adapter, "level", o.Level.String(), "expect", o.Expect,
+	c.opt.Log.Info(decisions.EventOrder, "endpoint", o.Endpoint.ID, "born", o.Endpoint.StartUnixMs, "unload", o.Unload, "model", o.Model, "adapter", o.Adapter, "level", o.Level.String(), "expect", o.Expect,
 		"fence", o.Fence, "outcome", outcome.String(), "ms", time.Since(started).Milliseconds(), "error", err)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.plan.Ordered(c.opt.Clock(), o, outcome)
+	c.plan.ObserveOutcome(c.opt.Clock(), o, outcome)
 	c.wake()
 }
 
@@ -346,6 +346,6 @@
 		c.plan.ReportFailed(c.opt.Clock(), life)
 		return
 	}
-	c.plan.Reported(c.opt.Clock(), r)
+	c.plan.ReceiveReport(c.opt.Clock(), r)
 	c.wake()
 }
--- a/driver/coordinator/coordinator_test.go
+++ b/driver/coordinator/coordinator_test.go
@@ -45,7 +45,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if expected.Revision != f.version.Revision {
-		return f.version.At(0), protocol.WriteConflict, nil
+		return f.version.WithRevision(0), protocol.WriteConflict, nil
 	}
 	f.record = record.(lease.Record)
 	f.version.Revision++
@@ -72,8 +72,8 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	log := decisions.New(io.Discard, "test", hclog.Off)
 	c := New(Options{
-		Service: "llm", Self: self, Lease: f, Engines: noEngines{}, OrderGap: orderGap, Planner: residency.Options{StoreAtOnce: 1},
-		Candidate: func(_ string, former bool) bool { return candidate || former }, Held: func(string, uint64, bool) {}, Places: func(string) int { return 0 }, PlacesLearned: func(string, uint64, int) {}, Log: log, Metrics: tally.NoopScope,
+		Service: "llm", Self: self, Lease: f, Engines: noEngines{}, OrderGap: orderGap, Planner: residency.Options{InitialStoreConcurrency: 1},
+		Candidate: func(_ string, former bool) bool { return candidate || former }, OnLeaseChange: func(string, uint64, bool) {}, StoreConcurrency: func(string) int { return 0 }, OnStoreConcurrency: func(string, uint64, int) {}, Log: log, Metrics: tally.NoopScope,
 	})
 	go c.Run(ctx)
 	t.Cleanup(func() {
--- a/driver/coordinator/suspended_test.go
+++ b/driver/coordinator/suspended_test.go
@@ -35,9 +35,9 @@
 		engines, f := &countingEngines{}, &fakeLease{}
 		log := decisions.New(io.Discard, "test", hclog.Off)
 		c := New(Options{
-			Service: "llm", Self: "h1", Lease: f, Engines: engines, OrderGap: orderGap, Planner: residency.Options{StoreAtOnce: 1},
-			Candidate: func(string, bool) bool { return true }, Held: func(string, uint64, bool) {}, Places: func(string) int { return 0 },
-			PlacesLearned: func(string, uint64, int) {}, Log: log, Metrics: tally.NoopScope,
+			Service: "llm", Self: "h1", Lease: f, Engines: engines, OrderGap: orderGap, Planner: residency.Options{InitialStoreConcurrency: 1},
+			Candidate: func(string, bool) bool { return true }, OnLeaseChange: func(string, uint64, bool) {}, StoreConcurrency: func(string) int { return 0 },
+			OnStoreConcurrency: func(string, uint64, int) {}, Log: log, Metrics: tally.NoopScope,
 			Clock: func() time.Time { return time.Now().Add(time.Duration(suspended.Load())) },
 		})
 		ctx, cancel := context.WithCancel(t.Context())
--- a/driver/decisions/log.go
+++ b/driver/decisions/log.go
@@ -14,64 +14,64 @@
 
 // Events of the log. docs/OPERATIONS.md explains each.
 const (
-	EventStart            = "daemon started"
-	EventStop             = "daemon stopping"
-	EventStopped          = "daemon stopped"
-	EventReload           = "settings reloaded"
-	EventDependencyLost   = "dependency lost"
-	EventDependencyBack   = "dependency regained"
-	EventDesiredState     = "desired state in force"
-	EventDesiredRejected  = "desired state rejected"
-	EventEndpoints        = "endpoints changed"
-	EventEndpointRejected = "endpoint entry rejected"
-	EventStorePlaces      = "store places learned"
-	EventEndpointReborn   = "endpoint started again"
-	EventStoreRole        = "role towards the store changed"
-	EventLateAnswer       = "answer came late"
-	EventUpstreamLeft     = "upstream left"
-	EventSetAside         = "answer set aside as older"
-	EventGeneration       = "store generation changed"
-	EventRestored         = "endpoints taken anew after a restore"
-	EventGenerationUnread = "store generation cannot be read"
-	EventEndpointKept     = "missing endpoint kept"
-	EventLease            = "lease changed"
-	EventOrder            = "order sent"
-	EventAnswered         = "request answered"
-	EventRefused          = "request refused"
-	EventFailed           = "request failed"
-	EventAttemptFailed    = "attempt failed"
-	EventNotResumed       = "request not resumed"
-	EventWaiting          = "request waits for a model"
-	EventAvoided          = "endpoint avoided"
-	EventEndpointEnded    = "endpoint ended under requests"
-	EventHeldBack         = "request held back"
-	EventReleased         = "request held back no more"
-	EventTrial            = "trial of a request held back"
-	EventQuarantineRecord = "record of requests held back"
-	EventOverQuota        = "workspace over its quota"
-	EventWorkspaces       = "workspaces in force"
-	EventUnreadHeader     = "unknown answer header"
-	EventEndpointLimit    = "limit of an endpoint changed"
-	EventEndpointLeaves   = "endpoint leaves, by its own word"
-	EventEndpointPauses   = "endpoint asks for a pause"
-	EventEndpointResumed  = "endpoint takes requests again"
-	EventPauseUnreadable  = "pause of an endpoint cannot be read"
-	EventFactUnreadable   = "fact cannot be read"
-	EventLimitsRecord     = "record of endpoints' limits"
-	EventLimitUnreadable  = "limit of an endpoint cannot be read"
+	EventStart                = "daemon started"
+	EventStop                 = "daemon stopping"
+	EventStopped              = "daemon stopped"
+	EventReload               = "settings reloaded"
+	EventDependencyLost       = "dependency lost"
+	EventDependencyRegained   = "dependency regained"
+	EventDesiredState         = "desired state in force"
+	EventDesiredRejected      = "desired state rejected"
+	EventEndpoints            = "endpoints changed"
+	EventEndpointRejected     = "endpoint entry rejected"
+	EventStoreConcurrency     = "store places learned"
+	EventEndpointRestarted    = "endpoint started again"
+	EventStoreRole            = "role towards the store changed"
+	EventLateAnswer           = "answer came late"
+	EventUpstreamDropped      = "upstream left"
+	EventStaleDiscarded       = "answer set aside as older"
+	EventGenerationChanged    = "store generation changed"
+	EventEndpointsRestored    = "endpoints taken anew after a restore"
+	EventGenerationUnreadable = "store generation cannot be read"
+	EventMissingEndpointKept  = "missing endpoint kept"
+	EventLease                = "lease changed"
+	EventOrder                = "order sent"
+	EventAnswered             = "request answered"
+	EventRefused              = "request refused"
+	EventFailed               = "request failed"
+	EventAttemptFailed        = "attempt failed"
+	EventNotResumed           = "request not resumed"
+	EventRequestWaiting       = "request waits for a model"
+	EventEndpointAvoided      = "endpoint avoided"
+	EventEndpointCrashed      = "endpoint ended under requests"
+	EventRequestQuarantined   = "request held back"
+	EventQuarantineLifted     = "request held back no more"
+	EventQuarantineProbe      = "trial of a request held back"
+	EventQuarantineRecord     = "record of requests held back"
+	EventOverQuota            = "workspace over its quota"
+	EventWorkspaces           = "workspaces in force"
+	EventUnknownHeader        = "unknown answer header"
+	EventEndpointLimit        = "limit of an endpoint changed"
+	EventEndpointLeaving      = "endpoint leaves, by its own word"
+	EventEndpointPaused       = "endpoint asks for a pause"
+	EventEndpointResumed      = "endpoint takes requests again"
+	EventPauseUnreadable      = "pause of an endpoint cannot be read"
+	EventFactUnreadable       = "fact cannot be read"
+	EventLimitsRecord         = "record of endpoints' limits"
+	EventLimitUnreadable      = "limit of an endpoint cannot be read"
 )
 
 // Events of daemons with bundles of their own.
 const (
 	EventPhase          = "shutdown phase changed"
-	EventBundleUnread   = "bundle not fetched yet"
+	EventBundlePending  = "bundle not fetched yet"
 	EventProposed       = "bundle proposed"
 	EventSignedOff      = "bundle signed off"
 	EventRollout        = "rollout accepted"
 	EventEndpointDrain  = "endpoint drain changed"
-	EventStopAsked      = "shutdown asked for"
-	EventStateRequested = "state dump"
-	EventRestoredState  = "state written again after a restore"
+	EventStopRequested  = "shutdown asked for"
+	EventStateDump      = "state dump"
+	EventStateRewritten = "state written again after a restore"
 )
 
 const (
@@ -108,10 +108,10 @@
 func (l *Log) With(args ...any) *Log { return &Log{shared: l.shared, Logger: l.Logger.With(args...)} }
 
 // Part returns a log whose lines name a part of the daemon.
-func (l *Log) Part(name string) *Log { return &Log{shared: l.shared, Logger: l.Named(name)} }
+func (l *Log) Component(name string) *Log { return &Log{shared: l.shared, Logger: l.Named(name)} }
 
 // Routine logs a success, unless many were logged in this second.
-func (l *Log) Routine(event string, args ...any) {
+func (l *Log) InfoSampled(event string, args ...any) {
 	now := time.Now().Unix()
 	if l.second.Swap(now) != now {
 		l.routine.Store(0)
@@ -124,7 +124,7 @@
 }
 
 // Lost returns the lines that found no room, and the successes left out.
-func (l *Log) Lost() (lost, skipped int64) { return l.sink.lost.Load(), l.skipped.Load() }
+func (l *Log) Dropped() (lost, skipped int64) { return l.sink.lost.Load(), l.skipped.Load() }
 
 // Close writes what waits, for a short while.
 func (l *Log) Close() {
--- a/driver/decisions/log_test.go
+++ b/driver/decisions/log_test.go
@@ -13,7 +13,7 @@
 
 // answered writes the line that each served request costs.
 func answered(l *Log) {
-	l.Routine(EventAnswered, "request", "9c41d07be2a35f68", "route", "r-6z8sdh6", "model", "daka510000", "status", 200,
+	l.InfoSampled(EventAnswered, "request", "9c41d07be2a35f68", "route", "r-6z8sdh6", "model", "daka510000", "status", 200,
 		"ms", 412, "first_event_ms", 63, "waited_ms", 0, "endpoint", "i-7f3a91c2", "version", 12)
 }
 
@@ -55,7 +55,7 @@
 	for range lines {
 		l.Info(EventRefused, "request", "x")
 	}
-	lost, _ := l.Lost()
+	lost, _ := l.Dropped()
 	close(until)
 	if lost < lines-queueLines-maxBatch || lost >= lines {
 		t.Errorf("%d of %d lines lost", lost, lines)
@@ -74,7 +74,7 @@
 	}
 	l.Info(EventRefused, "request", "y")
 	seconds := int(time.Now().Unix() - second + 1)
-	_, skipped := l.Lost()
+	_, skipped := l.Dropped()
 	l.Close()
 	if kept := lines - int(skipped); kept > seconds*routinePerSecond {
 		t.Errorf("%d successes in %d s", kept, seconds)
--- a/driver/gate/gate.go
+++ b/driver/gate/gate.go
@@ -275,7 +275,7 @@
 
 // Shut returns the endpoints that this daemon has credit at, if all of them take no requests now by
 // their own word.
-func (g *Gate) Shut() []bundle.Endpoint {
+func (g *Gate) Unavailable() []bundle.Endpoint {
 	var list []bundle.Endpoint
 	for _, s := range *g.slots.Load() {
 		switch {
@@ -291,7 +291,7 @@
 
 // RefusedShut notes a request that was refused since all endpoints take none now: the coordinator
 // may have another one that does.
-func (g *Gate) RefusedShut(worth int64) {
+func (g *Gate) CountUnavailable(worth int64) {
 	g.shut.Add(1)
 	g.worth.Store(worth)
 	g.lastUse.Store(time.Now().UnixNano())
@@ -321,10 +321,10 @@
 func (g *Gate) Fail(now time.Time, reason string, after time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.est, g.estAt = admission.Estimate{Refuse: reason, After: after}, now
+	g.est, g.estAt = admission.Estimate{RefuseReason: reason, RetryAfter: after}, now
 	g.dispatch(now)
 	if len(*g.slots.Load()) > 0 {
-		g.est.Refuse = ""
+		g.est.RefuseReason = ""
 	}
 	g.refuse(g.queue.Review(now, g.estimate(now)))
 }
@@ -381,7 +381,7 @@
 	Service  time.Duration
 	// Shut counts the requests that were refused since all endpoints take none now, and
 	// ShutWorth is that of the last one.
-	Shut, ShutWorth int64
+	Unavailable, UnavailableWorth int64
 }
 
 // Report returns the present demand; arrivals and refusals are counted once.
@@ -390,7 +390,7 @@
 	defer g.mu.Unlock()
 	return Report{
 		Waiting: append([]admission.Item(nil), g.queue.Items()...), InFlight: g.inFlight.Load(),
-		Arrivals: g.arrivals.Swap(0), Shut: g.shut.Swap(0), ShutWorth: g.worth.Load(), LastUse: time.Unix(0, g.lastUse.Load()), Service: time.Duration(g.service.Load()),
+		Arrivals: g.arrivals.Swap(0), Unavailable: g.shut.Swap(0), UnavailableWorth: g.worth.Load(), LastUse: time.Unix(0, g.lastUse.Load()), Service: time.Duration(g.service.Load()),
 	}
 }
 
--- a/driver/gate/gate_test.go
+++ b/driver/gate/gate_test.go
@@ -156,7 +156,7 @@
 func TestGateOldEstimateIsForgotten(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := New("m", 16, func() {}, allOpen)
-		g.Update(time.Now(), nil, admission.Estimate{Refuse: "left-to-scripts", After: time.Minute})
+		g.Update(time.Now(), nil, admission.Estimate{RefuseReason: "left-to-scripts", RetryAfter: time.Minute})
 		time.Sleep(2 * estimateLife)
 		go func() {
 			time.Sleep(10 * time.Millisecond)
@@ -180,11 +180,11 @@
 	now := time.Now()
 	g.Update(now, []Credit{{Endpoint: bundle.Endpoint{Name: "a"}, Limit: 9}, {Endpoint: bundle.Endpoint{Name: "b"}, Limit: 1}}, admission.Estimate{})
 	s, refusal := g.Acquire(t.Context(), Request{Deadline: now.Add(time.Second)})
-	if refusal != nil || s.Endpoint.Name != "b" || g.Shut() != nil {
-		t.Fatalf("%+v, %v, shut %v", s, refusal, g.Shut())
+	if refusal != nil || s.Endpoint.Name != "b" || g.Unavailable() != nil {
+		t.Fatalf("%+v, %v, shut %v", s, refusal, g.Unavailable())
 	}
 	closed["b"] = true
-	if shut := g.Shut(); len(shut) != 2 {
+	if shut := g.Unavailable(); len(shut) != 2 {
 		t.Errorf("%v are shut", shut)
 	}
 	closed = map[string]bool{}
--- a/driver/generations/generations.go
+++ b/driver/generations/generations.go
@@ -36,25 +36,25 @@
 // Read returns the generation that the header of an answer names, and hears of it. One that names none
 // counts as of the highest one heard of: a store that never names one has a single generation. One that
 // cannot be read is an error, as the answer may be anybody's. from says who answered what.
-func (t *Tracker) Read(header, from string) (uint64, error) {
+func (t *Tracker) ObserveHeader(header, from string) (uint64, error) {
 	if t == nil {
 		return 0, nil
 	}
 	if header == "" {
 		highest := t.Highest()
 		if unnamed := highest > 0; unnamed && !t.unnamed.Swap(true) {
-			t.log.Error(decisions.EventGenerationUnread, "value", "", "from", from, "taken_for", highest)
+			t.log.Error(decisions.EventGenerationUnreadable, "value", "", "from", from, "taken_for", highest)
 		}
 		return highest, nil
 	}
 	named, err := strconv.ParseUint(header, 10, 64)
 	if err != nil {
 		value := strconv.Quote(header[:min(len(header), shownBytes)])
-		t.log.Error(decisions.EventGenerationUnread, "value", value, "from", from)
+		t.log.Error(decisions.EventGenerationUnreadable, "value", value, "from", from)
 		return 0, Error.New("want a whole number, found %s", value)
 	}
 	t.unnamed.Store(false)
-	t.Heard(named, from)
+	t.Observe(named, from)
 	return named, nil
 }
 
@@ -63,14 +63,14 @@
 
 // Heard takes a generation that an answer names; 0 where it names none. from says who answered
 // what, for the log.
-func (t *Tracker) Heard(generation uint64, from string) {
+func (t *Tracker) Observe(generation uint64, from string) {
 	if t == nil {
 		return
 	}
 	for before := t.highest.Load(); before < generation; before = t.highest.Load() {
 		if t.highest.CompareAndSwap(before, generation) {
 			t.gauge.Update(float64(generation))
-			t.log.Info(decisions.EventGeneration, "generation", generation, "before", before, "from", from)
+			t.log.Info(decisions.EventGenerationChanged, "generation", generation, "before", before, "from", from)
 			t.tell(generation)
 			return
 		}
--- a/driver/gossip/gossip.go
+++ b/driver/gossip/gossip.go
@@ -116,7 +116,7 @@
 	for _, msg := range ready.Messages {
 		go g.send(msg)
 	}
-	for _, ind := range ready.Indirects {
+	for _, ind := range ready.IndirectProbes {
 		go g.probe(ind)
 	}
 	if changed {
@@ -184,7 +184,7 @@
 	g.do(func(now time.Time) { g.m.Answer(now, msg.To.ID, true, resp.Digest, fromWire(resp.Entries), msg.Full) })
 }
 
-func (g *Gossip) probe(ind membership.Indirect) {
+func (g *Gossip) probe(ind membership.IndirectProbe) {
 	ctx, cancel := context.WithTimeout(context.Background(), peers.CallTimeout)
 	defer cancel()
 	g.messages.Add(1)
--- a/driver/leaserelay/leaserelay.go
+++ b/driver/leaserelay/leaserelay.go
@@ -168,7 +168,7 @@
 		r.log.Warn(decisions.EventDependencyLost, "dependency", "store", "of", "lease", "service", name, "through", "peer", "error", err)
 		return
 	}
-	r.log.Info(decisions.EventDependencyBack, "dependency", "store", "of", "lease", "service", name)
+	r.log.Info(decisions.EventDependencyRegained, "dependency", "store", "of", "lease", "service", name)
 }
 
 // direct is the way from this daemon.
@@ -212,7 +212,7 @@
 
 // heard returns a version that another daemon has told.
 func (t through) heard(generation, revision uint64) storeversion.Version {
-	t.generations.Heard(generation, "peer")
+	t.generations.Observe(generation, "peer")
 	return storeversion.Version{Generation: generation, Revision: revision}
 }
 
--- a/driver/leaserelay/leaserelay_test.go
+++ b/driver/leaserelay/leaserelay_test.go
@@ -204,8 +204,8 @@
 				r := relayOf(own, &host{object: o, how: how}, other)
 				var changes atomic.Int64
 				c := coordinator.New(coordinator.Options{
-					Service: "llm", Self: "a", Lease: r, Engines: noEngines{}, OrderGap: 3 * time.Second, Planner: residency.Options{StoreAtOnce: 1},
-					Candidate: func(string, bool) bool { return true }, Held: func(string, uint64, bool) { changes.Add(1) }, Places: func(string) int { return 0 }, PlacesLearned: func(string, uint64, int) {},
+					Service: "llm", Self: "a", Lease: r, Engines: noEngines{}, OrderGap: 3 * time.Second, Planner: residency.Options{InitialStoreConcurrency: 1},
+					Candidate: func(string, bool) bool { return true }, OnLeaseChange: func(string, uint64, bool) { changes.Add(1) }, StoreConcurrency: func(string) int { return 0 }, OnStoreConcurrency: func(string, uint64, int) {},
 					Log: r.log, Metrics: tally.NoopScope,
 				})
 				ctx, cancel := context.WithCancel(t.Context())
@@ -235,7 +235,7 @@
 // generation of the store is not sent, neither for this daemon nor for another one.
 func TestConditionOfAnOlderGenerationIsNotSent(t *testing.T) {
 	heard := generations.New(quiet(), tally.NoopScope)
-	heard.Heard(3, "test")
+	heard.Observe(3, "test")
 	own := &host{object: &object{}}
 	expected := storeversion.Version{Generation: 2, Revision: 4}
 	r := New(own, func(int) []Peer { return nil }, heard, quiet())
--- a/driver/placer/demand.go
+++ b/driver/placer/demand.go
@@ -41,7 +41,7 @@
 	}
 	w := p.place.Estimate(unit, now)
 	if w.Reason != "" {
-		e.WaitMs, e.Reason = -w.After.Milliseconds()-1, w.Reason
+		e.WaitMs, e.Reason = -w.RetryAfter.Milliseconds()-1, w.Reason
 		return e
 	}
 	e.WaitMs = w.Time.Milliseconds()
@@ -74,7 +74,7 @@
 func fromWire(now time.Time, units []*peerpb.UnitDemand) []grants.UnitReport {
 	list := make([]grants.UnitReport, len(units))
 	for i, u := range units {
-		r := grants.UnitReport{Unit: u.Unit, InFlight: int(u.InFlight), Arrivals: int(u.Arrivals), Shut: int(u.Shut), ShutWorth: u.ShutWorth}
+		r := grants.UnitReport{Unit: u.Unit, InFlight: int(u.InFlight), Arrivals: int(u.Arrivals), Unavailable: int(u.Shut), UnavailableWorth: u.ShutWorth}
 		for _, w := range u.Waiting {
 			r.Waiting = append(r.Waiting, grants.Waiting{
 				Worth: w.Worth, Count: int(w.Count), Deadline: now.Add(time.Duration(w.EarliestDeadlineMs) * time.Millisecond),
@@ -100,7 +100,7 @@
 func (p *Placer) View() View {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	v := View{Group: p.opt.Group, Held: p.held, Until: p.lease.Until(), Reporting: p.book.Len()}
+	v := View{Group: p.opt.Group, Held: p.held, Until: p.lease.HeldUntil(), Reporting: p.book.Len()}
 	if p.place == nil {
 		return v
 	}
--- a/driver/placer/placer.go
+++ b/driver/placer/placer.go
@@ -54,7 +54,7 @@
 	// LastHolder returns who held the lease under that fence, empty after a release.
 	LastHolder(group string) placement.FormerHolder
 	// Held tells all daemons who holds the group's lease.
-	Held(group string, fence uint64, held bool)
+	AnnounceHolder(group string, fence uint64, held bool)
 	// Quiescent asks whether a former holder has no orders out any more.
 	Quiescent(ctx context.Context, holder, group string, fence uint64) bool
 }
@@ -88,7 +88,7 @@
 	service bundle.Service
 	lease   *lease.Machine
 	place   *placement.Machine
-	book    *grants.Book
+	book    *grants.Allocator
 	polls   map[string]*poll
 	policy  bundle.Policy
 	held    bool
@@ -107,7 +107,7 @@
 // New returns a placer for one group.
 func New(opt Options) *Placer {
 	return &Placer{
-		opt: opt, log: opt.Log.With("group", opt.Group), book: grants.NewBook(), polls: map[string]*poll{},
+		opt: opt, log: opt.Log.With("group", opt.Group), book: grants.NewAllocator(), polls: map[string]*poll{},
 		lease: lease.New(lease.Options{Self: opt.Self, Term: opt.LeaseTerm, Margin: opt.LeaseTerm / marginDivisor, FirstStart: opt.FirstStart}),
 	}
 }
@@ -228,7 +228,7 @@
 
 func (p *Placer) stepLease(ctx context.Context, now time.Time, candidate bool) {
 	p.lease.Step(clock.Now(), lease.Candidate{Yes: candidate && !p.releasing})
-	p.lease.Step(clock.Now(), lease.Heard{Generation: p.opt.Generations.Highest(), Fence: p.opt.Roles.Fence(p.opt.Group)})
+	p.lease.Step(clock.Now(), lease.PeerState{Generation: p.opt.Generations.Highest(), Fence: p.opt.Roles.Fence(p.opt.Group)})
 	r := p.lease.Ready(clock.Now())
 	switch {
 	case r.Read:
@@ -247,7 +247,7 @@
 		// in an outage, this one knows the group best and stays its
 		// coordinator.
 		if held || p.releasing {
-			go p.opt.Roles.Held(p.opt.Group, p.lease.Fence(), held)
+			go p.opt.Roles.AnnounceHolder(p.opt.Group, p.lease.Fence(), held)
 		}
 	}
 	p.place.Step(now, placement.LeaseChanged{Held: held && p.unrecorded == nil && !now.Before(p.ordersFrom), Fence: fence, TakeoverAt: p.takeoverAt(now)})
@@ -402,7 +402,7 @@
 		return
 	}
 	state.Endpoint = e.Name
-	p.place.Step(time.Now(), placement.Observed{State: state, Fence: fence, Asked: asked})
+	p.place.Step(time.Now(), placement.Observed{State: state, Fence: fence, RequestedAt: asked})
 }
 
 // askFormer asks daemons that lost the lease whether orders are still out.
--- a/driver/quarantiner/broken.go
+++ b/driver/quarantiner/broken.go
@@ -33,13 +33,13 @@
 )
 
 // Attempt is one whose connection to the endpoint broke before its answer was complete.
-type Attempt struct {
+type BrokenAttempt struct {
 	Request     string // id, of this attempt of the caller
 	Fingerprint protocol.Fingerprint
-	Life        fleet.Incarnation
+	Incarnation fleet.Incarnation
 	Address     string
 	Sent        time.Time // by the keeper's clock
-	Began       bool      // events of the answer had come
+	AnswerBegan bool      // events of the answer had come
 	Software    quarantine.Software
 }
 
@@ -53,30 +53,30 @@
 	ended    bool
 	endedAt  time.Time // when that was found out
 	checks   int
-	checkAt  time.Time     // of the next question
-	checking chan struct{} // closed when the question on its way is answered; nil if none is
-	attempts []Attempt     // that wait to be counted
+	checkAt  time.Time       // of the next question
+	checking chan struct{}   // closed when the question on its way is answered; nil if none is
+	attempts []BrokenAttempt // that wait to be counted
 }
 
 // Broke takes a broken attempt, and returns when the endpoint has been asked whether it is
 // there: the next endpoint is chosen after that, a few milliseconds later.
-func (k *Keeper) Broke(ctx context.Context, a Attempt) {
+func (k *Controller) ObserveBroken(ctx context.Context, a BrokenAttempt) {
 	now := k.opt.Clock()
-	listed, leaving := k.opt.Endpoint(a.Life)
+	listed, leaving := k.opt.Endpoint(a.Incarnation)
 	leaving = leaving || !listed // taken out before its connections broke
 	k.mu.Lock()
-	b := k.broken[a.Life]
+	b := k.broken[a.Incarnation]
 	if b != nil && b.followedBy(a) {
 		b = nil
 	}
 	if b == nil {
 		if len(k.broken) >= mostBroken {
 			k.mu.Unlock()
-			k.opt.Log.Warn(decisions.EventEndpointEnded, "endpoint", a.Life.ID, "error", "too many endpoints broke at once; this one is not looked at")
+			k.opt.Log.Warn(decisions.EventEndpointCrashed, "endpoint", a.Incarnation.ID, "error", "too many endpoints broke at once; this one is not looked at")
 			return
 		}
 		b = &broken{address: a.Address, leaving: leaving, since: now, order: time.Now().UnixMilli()}
-		k.broken[a.Life] = b
+		k.broken[a.Incarnation] = b
 	}
 	leaving = b.leaving
 	b.attempts = append(b.attempts, a)
@@ -85,14 +85,14 @@
 	if leaving {
 		return
 	}
-	k.ask(ctx, a.Life, b)
-	k.count(a.Life, b)
+	k.ask(ctx, a.Incarnation, b)
+	k.count(a.Incarnation, b)
 }
 
 // followedBy reports whether an attempt was sent to the next life of an endpoint whose lives
 // bear no start: after it was known that the one before had ended.
-func (b *broken) followedBy(a Attempt) bool {
-	return a.Life.Born == 0 && b.ended && a.Sent.After(b.endedAt)
+func (b *broken) followedBy(a BrokenAttempt) bool {
+	return a.Incarnation.StartUnixMs == 0 && b.ended && a.Sent.After(b.endedAt)
 }
 
 // end notes that the life has ended; the caller holds the mutex.
@@ -104,8 +104,8 @@
 
 // Refused takes it that connecting to an endpoint failed: if nothing listens there, the
 // attempts that broke shortly before ended with it.
-func (k *Keeper) Refused(life fleet.Incarnation, err error) {
-	if !RefusedConnection(err) {
+func (k *Controller) ObserveDialError(life fleet.Incarnation, err error) {
+	if !IsConnectionRefused(err) {
 		return
 	}
 	k.mu.Lock()
@@ -120,7 +120,7 @@
 }
 
 // ask asks an endpoint whether it is there, once for all attempts that broke together.
-func (k *Keeper) ask(ctx context.Context, life fleet.Incarnation, b *broken) {
+func (k *Controller) ask(ctx context.Context, life fleet.Incarnation, b *broken) {
 	k.mu.Lock()
 	waiting := b.checking
 	now := k.opt.Clock()
@@ -135,7 +135,7 @@
 	case mine:
 		err := k.opt.Dial(context.WithoutCancel(ctx), b.address)
 		k.mu.Lock()
-		if RefusedConnection(err) {
+		if IsConnectionRefused(err) {
 			b.end(k.opt.Clock())
 		}
 		close(b.checking)
@@ -150,7 +150,7 @@
 }
 
 // count counts the attempts that ended with an endpoint, if it has ended.
-func (k *Keeper) count(life fleet.Incarnation, b *broken) {
+func (k *Controller) count(life fleet.Incarnation, b *broken) {
 	k.mu.Lock()
 	attempts := b.attempts
 	if !b.ended || b.leaving || len(attempts) == 0 {
@@ -159,22 +159,22 @@
 	}
 	b.attempts = nil
 	k.mu.Unlock()
-	k.opt.Ended(life)
+	k.opt.OnCrash(life)
 	k.metrics.ended.Inc(int64(len(attempts)))
-	k.opt.Log.Info(decisions.EventEndpointEnded, "endpoint", life.ID, "born", life.Born, "attempts", len(attempts), "after_ms", k.opt.Clock().Sub(b.since).Milliseconds())
+	k.opt.Log.Info(decisions.EventEndpointCrashed, "endpoint", life.ID, "born", life.StartUnixMs, "attempts", len(attempts), "after_ms", k.opt.Clock().Sub(b.since).Milliseconds())
 	k.step(func(now time.Time) {
 		for _, a := range attempts {
-			end := quarantine.End{Life: life, Doubtful: a.Began, Served: k.served.lately(a.Fingerprint, a.Sent), Sent: a.Sent, At: b.since, Order: b.order}
+			end := quarantine.Crash{Incarnation: life, Doubtful: a.AnswerBegan, ServedBefore: k.served.lately(a.Fingerprint, a.Sent), Sent: a.Sent, At: b.since, Order: b.order}
 			if !end.Doubtful {
 				end.Attempts = []uint32{quarantine.AttemptTag(a.Request)}
 			}
-			k.m.Ended(now, quarantine.Report{Fingerprint: a.Fingerprint, End: end, Software: a.Software})
+			k.m.ObserveCrash(now, quarantine.CrashedAttempt{Fingerprint: a.Fingerprint, Crash: end, Software: a.Software})
 		}
 	})
 }
 
 // watching reports whether there are endpoints whose end is not known.
-func (k *Keeper) watching() bool {
+func (k *Controller) watching() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return len(k.broken) > 0
@@ -182,7 +182,7 @@
 
 // check looks again at endpoints whose connections broke: asks them, and takes it as their
 // end if they are not listed any more though they had not said that they leave.
-func (k *Keeper) check(ctx context.Context) {
+func (k *Controller) check(ctx context.Context) {
 	now := k.opt.Clock()
 	k.mu.Lock()
 	list := make(map[fleet.Incarnation]*broken, len(k.broken))
@@ -215,7 +215,7 @@
 }
 
 // RefusedConnection reports whether an error says that nothing listens at the address.
-func RefusedConnection(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
+func IsConnectionRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
 // dial is how an endpoint is asked whether it is there.
 func dial(ctx context.Context, address string) error {
--- a/driver/quarantiner/fleet_test.go
+++ b/driver/quarantiner/fleet_test.go
@@ -45,7 +45,7 @@
 	name string
 
 	mu        sync.Mutex
-	keeper    *Keeper
+	keeper    *Controller
 	stop      context.CancelFunc
 	cut       bool          // from all other daemons
 	suspended time.Duration // that its clock is ahead by
@@ -110,7 +110,7 @@
 	return time.Now().Add(h.suspended)
 }
 
-func (h *host) current() *Keeper {
+func (h *host) current() *Controller {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.keeper
@@ -152,7 +152,7 @@
 
 var errCut = errors.New("cut off")
 
-func (l link) way(ctx context.Context) (*Keeper, error) {
+func (l link) way(ctx context.Context) (*Controller, error) {
 	in := l.from.in
 	in.mu.Lock()
 	in.calls++
@@ -274,7 +274,7 @@
 	}
 	on := func() quarantine.Software { return 1 }
 	for range attempts {
-		if k.Waits(print, on) != nil {
+		if k.CheckHeld(print, on) != nil {
 			return true, false
 		}
 		trial, refusal := k.Admit(context.Background(), print, on)
@@ -284,8 +284,8 @@
 		e := h.in.engines[h.in.chance(len(h.in.engines))]
 		life, over, up := e.life()
 		if !up {
-			k.Refused(life, syscall.ECONNREFUSED)
-			k.GiveBack(trial)
+			k.ObserveDialError(life, syscall.ECONNREFUSED)
+			k.ReturnProbe(trial)
 			continue
 		}
 		sent := h.now()
@@ -299,10 +299,10 @@
 		select {
 		case <-over:
 		case <-time.After(runsFor):
-			k.Served(print, sent)
+			k.ObserveSuccess(print, sent)
 			return false, true
 		}
-		k.Broke(context.Background(), Attempt{Fingerprint: print(), Life: life, Address: e.name, Sent: sent, Began: h.now().Sub(sent) > beginsFor+30*time.Millisecond, Software: 1})
+		k.ObserveBroken(context.Background(), BrokenAttempt{Fingerprint: print(), Incarnation: life, Address: e.name, Sent: sent, AnswerBegan: h.now().Sub(sent) > beginsFor+30*time.Millisecond, Software: 1})
 	}
 	return false, false
 }
--- a/driver/quarantiner/quarantiner.go
+++ b/driver/quarantiner/quarantiner.go
@@ -73,7 +73,7 @@
 	// Dial connects to an endpoint to see whether it is there; nil: over TCP.
 	Dial func(ctx context.Context, address string) error
 	// Ended is told of endpoints that have just ended, as this daemon or another has seen.
-	Ended func(fleet.Incarnation)
+	OnCrash func(fleet.Incarnation)
 	// Store keeps what must outlast all daemons; nil: nothing does.
 	Store record.Store
 	// Generations keeps the highest generation of the store; nil: it names none.
@@ -84,7 +84,7 @@
 }
 
 // Keeper is safe for concurrent use.
-type Keeper struct {
+type Controller struct {
 	opt     Options
 	synced  chan struct{} // closed when others were asked, or there is nobody to ask
 	started time.Time
@@ -93,7 +93,7 @@
 	metrics metrics
 
 	// held is what requests look at: those that are held back, mostly none.
-	held  atomic.Pointer[map[protocol.Fingerprint]quarantine.Standing]
+	held  atomic.Pointer[map[protocol.Fingerprint]quarantine.Assessment]
 	known atomic.Int64 // cases
 
 	served servedTable
@@ -114,49 +114,49 @@
 }
 
 // New returns a keeper that knows nothing yet.
-func New(opt Options) *Keeper {
+func New(opt Options) *Controller {
 	if opt.Clock == nil {
 		opt.Clock = clock.Now
 	}
-	if opt.Ended == nil {
-		opt.Ended = func(fleet.Incarnation) {}
+	if opt.OnCrash == nil {
+		opt.OnCrash = func(fleet.Incarnation) {}
 	}
 	if opt.Dial == nil {
 		opt.Dial = dial
 	}
 	s := opt.Metrics.SubScope("quarantine")
-	k := &Keeper{opt: opt, synced: make(chan struct{}), started: opt.Clock(), wake: make(chan struct{}, 1), news: make(chan struct{}, 1), m: quarantine.New(), record: record.New(opt.Store, opt.Generations, recordName), broken: map[fleet.Incarnation]*broken{}, metrics: metrics{
+	k := &Controller{opt: opt, synced: make(chan struct{}), started: opt.Clock(), wake: make(chan struct{}, 1), news: make(chan struct{}, 1), m: quarantine.New(), record: record.New(opt.Store, opt.Generations, recordName), broken: map[fleet.Incarnation]*broken{}, metrics: metrics{
 		ended: s.Counter("attempts_ended_with_endpoint_total"), refused: s.Counter("requests_refused_total"), trials: s.Counter("trials_total"),
 		told: s.Counter("messages_total"), held: s.Gauge("requests_held"), cases: s.Gauge("cases"),
 	}}
-	k.held.Store(&map[protocol.Fingerprint]quarantine.Standing{})
+	k.held.Store(&map[protocol.Fingerprint]quarantine.Assessment{})
 	return k
 }
 
 // Waits refuses a request that is held back and whose trial is not due; the refusal says
 // when to come back. While nothing is held back it costs a read: the functions are asked
 // only where something is.
-func (k *Keeper) Waits(print func() protocol.Fingerprint, on func() quarantine.Software) *protocol.Refusal {
+func (k *Controller) CheckHeld(print func() protocol.Fingerprint, on func() quarantine.Software) *protocol.Refusal {
 	s, held := k.standing(print)
 	if !held {
 		return nil
 	}
-	if now := k.opt.Clock(); !s.TrialDue(now, on()) {
-		return k.refuse(s, s.Due.Sub(now))
+	if now := k.opt.Clock(); !s.ProbeDue(now, on()) {
+		return k.refuse(s, s.NextProbe.Sub(now))
 	}
 	return nil
 }
 
 // Trial is the one request of all daemons that goes through while its like are held back;
 // zero where nothing is.
-type Trial struct {
+type Probe struct {
 	print  protocol.Fingerprint
 	number int
 }
 
 // Settle waits until a daemon that has just started has asked others what they know, or has
 // found nobody to ask.
-func (k *Keeper) Settle(ctx context.Context) {
+func (k *Controller) WaitSynced(ctx context.Context) {
 	if !k.settled() {
 		pause.Until(ctx, time.Now().Add(syncWithin), k.synced)
 	}
@@ -164,76 +164,76 @@
 
 // Admit is Waits at the moment of sending: a request whose trial is due goes through if
 // the daemon that decides on it says so. One that has just started asks others first.
-func (k *Keeper) Admit(ctx context.Context, print func() protocol.Fingerprint, on func() quarantine.Software) (Trial, *protocol.Refusal) {
-	k.Settle(ctx)
-	if refusal := k.Waits(print, on); refusal != nil {
-		return Trial{}, refusal
+func (k *Controller) Admit(ctx context.Context, print func() protocol.Fingerprint, on func() quarantine.Software) (Probe, *protocol.Refusal) {
+	k.WaitSynced(ctx)
+	if refusal := k.CheckHeld(print, on); refusal != nil {
+		return Probe{}, refusal
 	}
 	if s, held := k.standing(print); held {
 		return k.trial(ctx, s, on())
 	}
-	return Trial{}, nil
+	return Probe{}, nil
 }
 
 // GiveBack takes it that a trial has reached no endpoint, so that another one may go
 // through at once.
-func (k *Keeper) GiveBack(t Trial) {
+func (k *Controller) ReturnProbe(t Probe) {
 	if t.number == 0 {
 		return
 	}
-	k.step(func(now time.Time) { k.m.GiveBack(now, t.print, t.number) })
-	k.opt.Log.Info(decisions.EventTrial, "fingerprint", t.print.String(), "given_back", t.number)
+	k.step(func(now time.Time) { k.m.ReturnProbe(now, t.print, t.number) })
+	k.opt.Log.Info(decisions.EventQuarantineProbe, "fingerprint", t.print.String(), "given_back", t.number)
 }
 
-func (k *Keeper) standing(print func() protocol.Fingerprint) (quarantine.Standing, bool) {
+func (k *Controller) standing(print func() protocol.Fingerprint) (quarantine.Assessment, bool) {
 	held := *k.held.Load()
 	if len(held) == 0 {
-		return quarantine.Standing{}, false
+		return quarantine.Assessment{}, false
 	}
 	s, ok := held[print()]
 	return s, ok
 }
 
-func (k *Keeper) refuse(s quarantine.Standing, after time.Duration) *protocol.Refusal {
+func (k *Controller) refuse(s quarantine.Assessment, after time.Duration) *protocol.Refusal {
 	k.metrics.refused.Inc(1)
-	detail := fmt.Sprintf("endpoints have ended under this request, one after the other: %s; it is tried again later", strings.Join(s.Lives(), ", "))
+	detail := fmt.Sprintf("endpoints have ended under this request, one after the other: %s; it is tried again later", strings.Join(s.CrashedEndpoints(), ", "))
 	return protocol.Refuse(http.StatusServiceUnavailable, ReasonHeldBack, detail, max(after, retryUndecided))
 }
 
 // trial asks the daemon that decides on the request whether its trial may go through now:
 // one does for all daemons.
-func (k *Keeper) trial(ctx context.Context, s quarantine.Standing, on quarantine.Software) (Trial, *protocol.Refusal) {
-	print := s.Case.Fingerprint
+func (k *Controller) trial(ctx context.Context, s quarantine.Assessment, on quarantine.Software) (Probe, *protocol.Refusal) {
+	print := s.Record.Fingerprint
 	judge, ok := k.judge(print)
 	if !ok {
-		return Trial{}, k.refuse(s, retryUndecided)
+		return Probe{}, k.refuse(s, retryUndecided)
 	}
 	granted, known, err := k.askJudge(ctx, judge, s, on)
-	k.opt.Log.Info(decisions.EventTrial, "fingerprint", print.String(), "decides", judge.ID, "granted", granted, "trials", known.Trials, "error", err)
+	k.opt.Log.Info(decisions.EventQuarantineProbe, "fingerprint", print.String(), "decides", judge.ID, "granted", granted, "trials", known.Probes, "error", err)
 	if err != nil {
-		return Trial{}, k.refuse(s, retryUndecided)
+		return Probe{}, k.refuse(s, retryUndecided)
 	}
 	if granted {
 		k.metrics.trials.Inc(1)
-		return Trial{print: print, number: known.Trials}, nil
+		return Probe{print: print, number: known.Probes}, nil
 	}
 	if now, held := (*k.held.Load())[print]; held {
-		return Trial{}, k.refuse(now, now.Due.Sub(k.opt.Clock()))
+		return Probe{}, k.refuse(now, now.NextProbe.Sub(k.opt.Clock()))
 	}
-	return Trial{}, nil // released meanwhile
+	return Probe{}, nil // released meanwhile
 }
 
 // askJudge asks the daemon that decides on a request, and returns what it knows of it.
-func (k *Keeper) askJudge(ctx context.Context, judge membership.Member, s quarantine.Standing, on quarantine.Software) (granted bool, known quarantine.Case, err error) {
+func (k *Controller) askJudge(ctx context.Context, judge membership.Member, s quarantine.Assessment, on quarantine.Software) (granted bool, known quarantine.Record, err error) {
 	if judge.ID == k.opt.Self {
-		granted, known = k.grant(s.Case.Fingerprint, on)
+		granted, known = k.grant(s.Record.Fingerprint, on)
 		return granted, known, nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	resp, err := k.opt.Peer(judge.PeerAddress).Trial(ctx, &quarantinepb.TrialRequest{Software: uint64(on), Case: caseToWire(k.opt.Clock(), &s.Case)})
+	resp, err := k.opt.Peer(judge.PeerAddress).Trial(ctx, &quarantinepb.TrialRequest{Software: uint64(on), Case: caseToWire(k.opt.Clock(), &s.Record)})
 	if err != nil {
-		return false, s.Case, err
+		return false, s.Record, err
 	}
 	cases := fromWire(k.opt.Clock(), []*quarantinepb.Case{resp.Case})
 	k.learn(cases)
@@ -244,7 +244,7 @@
 }
 
 // judge returns the daemon that decides on a request's trials.
-func (k *Keeper) judge(print protocol.Fingerprint) (membership.Member, bool) {
+func (k *Controller) judge(print protocol.Fingerprint) (membership.Member, bool) {
 	ranked := membership.Rendezvous(string(print[:]), k.opt.Members())
 	if len(ranked) == 0 {
 		return membership.Member{}, false
@@ -253,35 +253,35 @@
 }
 
 // grant decides on a trial here.
-func (k *Keeper) grant(print protocol.Fingerprint, on quarantine.Software) (granted bool, known quarantine.Case) {
+func (k *Controller) grant(print protocol.Fingerprint, on quarantine.Software) (granted bool, known quarantine.Record) {
 	k.step(func(now time.Time) {
-		granted = k.m.Trial(now, print, on)
-		known, _ = k.m.Known(print)
+		granted = k.m.GrantProbe(now, print, on)
+		known, _ = k.m.Lookup(print)
 	})
 	return granted, known
 }
 
 // Served takes it that a request, sent at some time, has been answered as it should.
-func (k *Keeper) Served(print func() protocol.Fingerprint, sent time.Time) {
+func (k *Controller) ObserveSuccess(print func() protocol.Fingerprint, sent time.Time) {
 	p := print()
 	k.served.note(p, k.opt.Clock())
 	if k.known.Load() == 0 {
 		return
 	}
-	k.step(func(now time.Time) { k.m.Served(now, p, sent) })
+	k.step(func(now time.Time) { k.m.ObserveSuccess(now, p, sent) })
 }
 
 // step runs f on the machine and publishes what follows; news go to others soon.
-func (k *Keeper) step(f func(now time.Time)) {
+func (k *Controller) step(f func(now time.Time)) {
 	now := k.opt.Clock()
 	k.mu.Lock()
 	f(now)
-	turned, news := k.m.Turned(), k.m.HasNews()
+	turned, news := k.m.TakeChanged(), k.m.HasPending()
 	if news || len(turned) > 0 { // an answer to a request without a case changes nothing
 		held := k.m.Held()
 		k.held.Store(&held)
 	}
-	k.known.Store(int64(k.m.Cases()))
+	k.known.Store(int64(k.m.Len()))
 	if news {
 		k.newsAt = now
 	}
@@ -295,17 +295,17 @@
 	}
 }
 
-func (k *Keeper) logTurned(now time.Time, s quarantine.Standing) {
-	fields := []any{"fingerprint", s.Case.Fingerprint.String(), "endpoints", s.Lives(), "trials", s.Case.Trials}
+func (k *Controller) logTurned(now time.Time, s quarantine.Assessment) {
+	fields := []any{"fingerprint", s.Record.Fingerprint.String(), "endpoints", s.CrashedEndpoints(), "trials", s.Record.Probes}
 	if !s.Held() {
-		k.opt.Log.Info(decisions.EventReleased, fields...)
+		k.opt.Log.Info(decisions.EventQuarantineLifted, fields...)
 		return
 	}
-	k.opt.Log.Info(decisions.EventHeldBack, append(fields, "blame", s.Blame, "last_ms_ago", now.Sub(s.Last()).Milliseconds(), "trial_in_ms", s.Due.Sub(now).Milliseconds())...)
+	k.opt.Log.Info(decisions.EventRequestQuarantined, append(fields, "blame", s.Suspicion, "last_ms_ago", now.Sub(s.LastActivity()).Milliseconds(), "trial_in_ms", s.NextProbe.Sub(now).Milliseconds())...)
 }
 
 // Run asks the others what they know, then passes time on until ctx ends.
-func (k *Keeper) Run(ctx context.Context) error {
+func (k *Controller) Run(ctx context.Context) error {
 	k.sync(ctx)
 	go k.runTell(ctx)
 	compared := k.opt.Clock()
@@ -324,18 +324,18 @@
 }
 
 // await waits for a tick while something goes on, for longer while nothing does.
-func (k *Keeper) await(ctx context.Context) {
+func (k *Controller) await(ctx context.Context) {
 	d := expireEvery
 	switch wait, known := k.comparePause(k.opt.Clock()); {
 	case k.watching():
 		d = tick
 	case known:
-		d = min(wait, record.Pause)
+		d = min(wait, record.MinCallInterval)
 	}
 	pause.Until(ctx, time.Now().Add(d), k.wake)
 }
 
-func (k *Keeper) gauge(now time.Time) {
+func (k *Controller) gauge(now time.Time) {
 	k.mu.Lock()
 	due := now.Sub(k.expired) >= expireEvery
 	if due {
--- a/driver/quarantiner/quarantiner_test.go
+++ b/driver/quarantiner/quarantiner_test.go
@@ -41,7 +41,7 @@
 	sent := h.now().Add(-beginsFor)
 	k := h.current()
 	k.step(func(now time.Time) {
-		k.m.Ended(now, quarantine.Report{Fingerprint: printOf(body)(), Software: 1, End: quarantine.End{Life: fleet.Incarnation{ID: life}, Sent: sent, At: now, Order: now.UnixMilli()}})
+		k.m.ObserveCrash(now, quarantine.CrashedAttempt{Fingerprint: printOf(body)(), Software: 1, Crash: quarantine.Crash{Incarnation: fleet.Incarnation{ID: life}, Sent: sent, At: now, Order: now.UnixMilli()}})
 	})
 }
 
@@ -71,7 +71,7 @@
 				for pending := len(in.hosts); pending > 0; {
 					pending = 0
 					for _, h := range in.hosts {
-						if h.current().Waits(printOf("worse"), onV1) == nil {
+						if h.current().CheckHeld(printOf("worse"), onV1) == nil {
 							pending++
 							last, lastAt = h.name, time.Since(start)
 						}
@@ -89,7 +89,7 @@
 					t.Errorf("the last daemon knew after %v", lastAt)
 				}
 				for _, h := range in.hosts {
-					if h.current().Waits(printOf("bad"), onV1) == nil {
+					if h.current().CheckHeld(printOf("bad"), onV1) == nil {
 						t.Errorf("%s does not know of the first request", h.name)
 					}
 				}
@@ -201,7 +201,7 @@
 			endUnder(in.hosts[i], "bad", fmt.Sprint("x", i))
 		}
 		time.Sleep(61 * time.Second)
-		admit := func(h *host) (Trial, bool) {
+		admit := func(h *host) (Probe, bool) {
 			trial, refusal := h.current().Admit(context.Background(), printOf("bad"), onV1)
 			return trial, refusal == nil
 		}
@@ -213,8 +213,8 @@
 			if _, second := admit(in.hosts[6]); second {
 				t.Fatal("a second one went through beside it")
 			}
-			h.current().GiveBack(trial)
-			h.current().GiveBack(trial) // once
+			h.current().ReturnProbe(trial)
+			h.current().ReturnProbe(trial) // once
 			time.Sleep(time.Second)
 		}
 		if _, ok := admit(in.hosts[5]); !ok {
@@ -223,7 +223,7 @@
 		due := in.hosts[0].current()
 		time.Sleep(time.Second)
 		s, _ := due.standing(printOf("bad"))
-		if wait := s.Due.Sub(due.opt.Clock()); wait < 3*time.Minute || wait > 4*time.Minute {
+		if wait := s.NextProbe.Sub(due.opt.Clock()); wait < 3*time.Minute || wait > 4*time.Minute {
 			t.Fatalf("the next trial is due in %v: want that of a first one, 4 min", wait)
 		}
 	})
@@ -242,7 +242,7 @@
 		time.Sleep(time.Second)
 		in.hosts[0].disturb(25*time.Second, true)
 		k := in.hosts[0].current()
-		r := k.Waits(printOf("bad"), onV1)
+		r := k.CheckHeld(printOf("bad"), onV1)
 		if r == nil {
 			t.Fatal("it is not held back")
 		}
@@ -351,7 +351,7 @@
 		k.opt.Dial = func(context.Context, string) error { dials.Add(1); return nil }
 		life, _, _ := in.engines[0].life()
 		for i := range 100 {
-			k.Broke(context.Background(), Attempt{Fingerprint: printOf(fmt.Sprint(i % 5))(), Life: life, Address: "e0", Sent: time.Now()})
+			k.ObserveBroken(context.Background(), BrokenAttempt{Fingerprint: printOf(fmt.Sprint(i % 5))(), Incarnation: life, Address: "e0", Sent: time.Now()})
 			time.Sleep(10 * time.Millisecond)
 		}
 		time.Sleep(10 * time.Second)
@@ -382,7 +382,7 @@
 		}
 		life := fleet.Incarnation{ID: "e0"}
 		broke := func(request string) {
-			k.Broke(context.Background(), Attempt{Fingerprint: printOf(request)(), Life: life, Address: "e0", Sent: time.Now()})
+			k.ObserveBroken(context.Background(), BrokenAttempt{Fingerprint: printOf(request)(), Incarnation: life, Address: "e0", Sent: time.Now()})
 		}
 		broke("bad")
 		if n := k.known.Load(); n != 1 {
@@ -405,7 +405,7 @@
 		in := newInstallation(5, 1, 1)
 		defer in.stop()
 		time.Sleep(2 * time.Second)
-		in.hosts[0].current().Served(printOf("popular"), time.Now())
+		in.hosts[0].current().ObserveSuccess(printOf("popular"), time.Now())
 		time.Sleep(3 * time.Second)
 		life, _, _ := in.engines[0].life()
 		for i, h := range in.hosts[1:4] {
@@ -413,15 +413,15 @@
 			k.opt.Endpoint = func(fleet.Incarnation) (listed, leaving bool) { return true, false }
 			k.opt.Dial = func(context.Context, string) error { return syscall.ECONNREFUSED }
 			for _, request := range []string{"popular", "bad"} {
-				k.Broke(context.Background(), Attempt{Request: fmt.Sprint(request, i), Fingerprint: printOf(request)(), Life: life, Address: "e0", Sent: time.Now().Add(-50 * time.Millisecond), Software: onV1()})
+				k.ObserveBroken(context.Background(), BrokenAttempt{Request: fmt.Sprint(request, i), Fingerprint: printOf(request)(), Incarnation: life, Address: "e0", Sent: time.Now().Add(-50 * time.Millisecond), Software: onV1()})
 			}
 		}
 		time.Sleep(2 * time.Second)
 		for _, h := range in.hosts {
-			if h.current().Waits(printOf("popular"), onV1) != nil {
+			if h.current().CheckHeld(printOf("popular"), onV1) != nil {
 				t.Errorf("%s holds the popular request back", h.name)
 			}
-			if h.current().Waits(printOf("bad"), onV1) == nil {
+			if h.current().CheckHeld(printOf("bad"), onV1) == nil {
 				t.Errorf("%s does not hold the other one back", h.name)
 			}
 		}
@@ -512,7 +512,7 @@
 		time.Sleep(3 * time.Second)
 		before := in.store.Calls()
 		in.store.Restore(copied)
-		in.heard.Heard(in.store.Generation(), "test")
+		in.heard.Observe(in.store.Generation(), "test")
 		time.Sleep(3 * time.Second)
 		if n := in.store.Calls() - before; n > 2 {
 			t.Errorf("%d calls to the store after its return, want a read and a write", n)
--- a/driver/quarantiner/record.go
+++ b/driver/quarantiner/record.go
@@ -26,7 +26,7 @@
 }
 
 // keepRecord reads or writes the record, if that is due and this daemon's to do.
-func (k *Keeper) keepRecord(ctx context.Context, now time.Time) {
+func (k *Controller) keepRecord(ctx context.Context, now time.Time) {
 	if k.known.Load() == 0 || !k.record.Due(now) || !k.record.IsWriter(k.opt.Self, k.opt.Members()) {
 		return
 	}
@@ -45,17 +45,17 @@
 	}
 }
 
-func (k *Keeper) heldCases() []quarantine.Case {
-	var list []quarantine.Case
+func (k *Controller) heldCases() []quarantine.Record {
+	var list []quarantine.Record
 	for _, s := range *k.held.Load() {
-		if len(list) < quarantine.MostTold {
-			list = append(list, s.Case)
+		if len(list) < quarantine.MaxPerMessage {
+			list = append(list, s.Record)
 		}
 	}
 	return list
 }
 
-func (k *Keeper) readRecord(ctx context.Context, now time.Time) error {
+func (k *Controller) readRecord(ctx context.Context, now time.Time) error {
 	var rec heldBackRecord
 	if err := k.record.Read(ctx, now, &rec); err != nil {
 		return err
@@ -77,7 +77,7 @@
 	return nil
 }
 
-func (k *Keeper) writeRecord(ctx context.Context, now time.Time, held []quarantine.Case) error {
+func (k *Controller) writeRecord(ctx context.Context, now time.Time, held []quarantine.Record) error {
 	raw, err := proto.Marshal(&quarantinepb.ExchangeRequest{Cases: toWire(now, held)})
 	if err != nil {
 		return err
--- a/driver/quarantiner/tell.go
+++ b/driver/quarantiner/tell.go
@@ -15,7 +15,7 @@
 
 // runTell tells the others what is new until ctx ends: the first at once, what comes
 // shortly after together, since an endpoint ends under requests of many daemons.
-func (k *Keeper) runTell(ctx context.Context) {
+func (k *Controller) runTell(ctx context.Context) {
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
@@ -23,7 +23,7 @@
 		case <-k.news:
 		}
 		k.mu.Lock()
-		cases, more := k.m.News()
+		cases, more := k.m.TakePending()
 		k.mu.Unlock()
 		if more {
 			wake.Once(k.news)
@@ -36,7 +36,7 @@
 }
 
 // others returns the other daemons in a random order.
-func (k *Keeper) others() []membership.Member {
+func (k *Controller) others() []membership.Member {
 	var list []membership.Member
 	for _, m := range k.opt.Members() {
 		if m.ID != k.opt.Self {
@@ -48,7 +48,7 @@
 }
 
 // tell sends news to some other daemons at once.
-func (k *Keeper) tell(req *quarantinepb.ExchangeRequest) {
+func (k *Controller) tell(req *quarantinepb.ExchangeRequest) {
 	list := k.others()
 	for _, m := range list[:min(fanout, len(list))] {
 		go func() { _, _ = k.exchange(context.Background(), m, req) }() // a comparison makes up for what is lost
@@ -56,7 +56,7 @@
 }
 
 // exchange makes one call and takes its answer.
-func (k *Keeper) exchange(ctx context.Context, m membership.Member, req *quarantinepb.ExchangeRequest) (*quarantinepb.ExchangeResponse, error) {
+func (k *Controller) exchange(ctx context.Context, m membership.Member, req *quarantinepb.ExchangeRequest) (*quarantinepb.ExchangeResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	k.metrics.told.Inc(1)
@@ -69,7 +69,7 @@
 }
 
 // learn takes what another daemon has told.
-func (k *Keeper) learn(cases []quarantine.Case) {
+func (k *Controller) learn(cases []quarantine.Record) {
 	if len(cases) == 0 {
 		return
 	}
@@ -77,14 +77,14 @@
 		k.m.Merge(now, cases)
 		for i := range cases {
 			print := cases[i].Fingerprint
-			k.m.Exonerate(now, print, func(sent time.Time) bool { return k.served.lately(print, sent) })
+			k.m.MarkServedBefore(now, print, func(sent time.Time) bool { return k.served.lately(print, sent) })
 		}
 	})
 	now := k.opt.Clock()
 	for i := range cases {
-		for _, e := range cases[i].Ends {
+		for _, e := range cases[i].Crashes {
 			if now.Sub(e.At) < justEnded {
-				k.opt.Ended(e.Life)
+				k.opt.OnCrash(e.Incarnation)
 			}
 		}
 	}
@@ -92,7 +92,7 @@
 
 // sync asks others for all that they know, until one has answered that has not just
 // started itself.
-func (k *Keeper) sync(ctx context.Context) {
+func (k *Controller) sync(ctx context.Context) {
 	defer close(k.synced)
 	for ctx.Err() == nil && k.opt.Clock().Sub(k.started) < syncWithin {
 		list := k.others()
@@ -106,7 +106,7 @@
 	}
 }
 
-func (k *Keeper) settled() bool {
+func (k *Controller) settled() bool {
 	select {
 	case <-k.synced:
 		return true
@@ -117,11 +117,11 @@
 
 // comparePause returns the pause between two comparisons; there are none while nothing is
 // known.
-func (k *Keeper) comparePause(now time.Time) (time.Duration, bool) {
+func (k *Controller) comparePause(now time.Time) (time.Duration, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	switch {
-	case k.m.Cases() == 0:
+	case k.m.Len() == 0:
 		return 0, false
 	case now.Sub(k.newsAt) < spreadFor:
 		return compareSoon, true
@@ -130,7 +130,7 @@
 }
 
 // compare brings this daemon and another one to the same belief.
-func (k *Keeper) compare(ctx context.Context) {
+func (k *Controller) compare(ctx context.Context) {
 	list := k.others()
 	if len(list) == 0 {
 		return
@@ -145,7 +145,7 @@
 	k.mu.Lock()
 	req := &quarantinepb.ExchangeRequest{Digest: k.m.Digest()}
 	if req.Digest != resp.Digest {
-		req.Cases = toWire(k.opt.Clock(), k.m.All())
+		req.Cases = toWire(k.opt.Clock(), k.m.Top())
 	}
 	k.mu.Unlock()
 	if len(req.Cases) > 0 {
@@ -154,13 +154,13 @@
 }
 
 // Exchange implements quarantinepb.Quarantine.
-func (k *Keeper) Exchange(_ context.Context, req *quarantinepb.ExchangeRequest) (*quarantinepb.ExchangeResponse, error) {
+func (k *Controller) Exchange(_ context.Context, req *quarantinepb.ExchangeRequest) (*quarantinepb.ExchangeResponse, error) {
 	k.learn(fromWire(k.opt.Clock(), req.Cases))
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	resp := &quarantinepb.ExchangeResponse{Digest: k.m.Digest(), Settled: k.settled()}
 	if req.Ask && req.Digest != resp.Digest {
-		resp.Cases = toWire(k.opt.Clock(), k.m.All())
+		resp.Cases = toWire(k.opt.Clock(), k.m.Top())
 	}
 	return resp, nil
 }
@@ -169,7 +169,7 @@
 var errNoCase = errors.New("no whole case to decide on")
 
 // Trial implements quarantinepb.Quarantine.
-func (k *Keeper) Trial(_ context.Context, req *quarantinepb.TrialRequest) (*quarantinepb.TrialResponse, error) {
+func (k *Controller) Trial(_ context.Context, req *quarantinepb.TrialRequest) (*quarantinepb.TrialResponse, error) {
 	cases := fromWire(k.opt.Clock(), []*quarantinepb.Case{req.Case})
 	if len(cases) == 0 {
 		return nil, errNoCase
--- a/driver/quarantiner/wire.go
+++ b/driver/quarantiner/wire.go
@@ -11,7 +11,7 @@
 
 // Times go between daemons as ages, since their clocks differ.
 
-func toWire(now time.Time, cases []quarantine.Case) []*quarantinepb.Case {
+func toWire(now time.Time, cases []quarantine.Record) []*quarantinepb.Case {
 	out := make([]*quarantinepb.Case, len(cases))
 	for i := range cases {
 		out[i] = caseToWire(now, &cases[i])
@@ -19,24 +19,24 @@
 	return out
 }
 
-func caseToWire(now time.Time, c *quarantine.Case) *quarantinepb.Case {
-	out := &quarantinepb.Case{Fingerprint: c.Fingerprint[:], Trials: int32(c.Trials), Returned: int32(c.Returned), Reopened: int32(c.Reopened)}
-	if c.Trials > 0 {
-		out.TriedAgeMs = age(now, c.TriedAt)
+func caseToWire(now time.Time, c *quarantine.Record) *quarantinepb.Case {
+	out := &quarantinepb.Case{Fingerprint: c.Fingerprint[:], Trials: int32(c.Probes), Returned: int32(c.Returned), Reopened: int32(c.LastReturned)}
+	if c.Probes > 0 {
+		out.TriedAgeMs = age(now, c.ProbedAt)
 	}
 	for _, s := range c.Software {
 		out.Software = append(out.Software, uint64(s))
 	}
-	for _, e := range c.Ends {
+	for _, e := range c.Crashes {
 		out.Ends = append(out.Ends, &quarantinepb.End{
-			Endpoint: e.Life.ID, Born: e.Life.Born, Doubtful: e.Doubtful, Forgiven: e.Forgiven, AgeMs: age(now, e.At), SentAgeMs: age(now, e.Sent), OrderUnixMs: e.Order, Attempts: e.Attempts, Served: e.Served,
+			Endpoint: e.Incarnation.ID, Born: e.Incarnation.StartUnixMs, Doubtful: e.Doubtful, Forgiven: e.Cleared, AgeMs: age(now, e.At), SentAgeMs: age(now, e.Sent), OrderUnixMs: e.Order, Attempts: e.Attempts, Served: e.ServedBefore,
 		})
 	}
 	return out
 }
 
-func fromWire(now time.Time, cases []*quarantinepb.Case) []quarantine.Case {
-	var out []quarantine.Case
+func fromWire(now time.Time, cases []*quarantinepb.Case) []quarantine.Record {
+	var out []quarantine.Record
 	for _, in := range cases {
 		if c, ok := caseFromWire(now, in); ok {
 			out = append(out, c)
@@ -47,21 +47,21 @@
 
 // caseFromWire decodes a case; one without a whole fingerprint or without ends says
 // nothing.
-func caseFromWire(now time.Time, in *quarantinepb.Case) (quarantine.Case, bool) {
-	c := quarantine.Case{Trials: int(in.GetTrials()), Returned: int(in.GetReturned()), Reopened: int(in.GetReopened())}
+func caseFromWire(now time.Time, in *quarantinepb.Case) (quarantine.Record, bool) {
+	c := quarantine.Record{Probes: int(in.GetTrials()), Returned: int(in.GetReturned()), LastReturned: int(in.GetReopened())}
 	if len(in.GetFingerprint()) != len(c.Fingerprint) || len(in.GetEnds()) == 0 {
 		return c, false
 	}
 	c.Fingerprint = protocol.Fingerprint(in.Fingerprint)
-	if c.Trials > 0 {
-		c.TriedAt = at(now, in.TriedAgeMs)
+	if c.Probes > 0 {
+		c.ProbedAt = at(now, in.TriedAgeMs)
 	}
 	for _, s := range in.Software {
 		c.Software = append(c.Software, quarantine.Software(s))
 	}
 	for _, e := range in.Ends {
-		c.Ends = append(c.Ends, quarantine.End{
-			Life: fleet.Incarnation{ID: e.Endpoint, Born: e.Born}, Doubtful: e.Doubtful, Forgiven: e.Forgiven, At: at(now, e.AgeMs), Sent: at(now, e.SentAgeMs), Order: e.OrderUnixMs, Attempts: e.Attempts, Served: e.Served,
+		c.Crashes = append(c.Crashes, quarantine.Crash{
+			Incarnation: fleet.Incarnation{ID: e.Endpoint, StartUnixMs: e.Born}, Doubtful: e.Doubtful, Cleared: e.Forgiven, At: at(now, e.AgeMs), Sent: at(now, e.SentAgeMs), Order: e.OrderUnixMs, Attempts: e.Attempts, ServedBefore: e.Served,
 		})
 	}
 	return c, true
--- a/driver/quotas/endpoints.go
+++ b/driver/quotas/endpoints.go
@@ -36,7 +36,7 @@
 	opt     *Options
 	metrics *metrics
 	shared  *sharer
-	limited atomic.Pointer[map[fleet.Incarnation]limit.Word]
+	limited atomic.Pointer[map[fleet.Incarnation]limit.Report]
 
 	settled chan struct{} // closed when the record has been read, or could not be
 	news    chan struct{} // limits have begun or ended
@@ -45,38 +45,38 @@
 	recorded map[fleet.Incarnation]float64
 
 	mu         sync.Mutex
-	book       *limit.Book
+	book       *limit.Tracker
 	toldFrom   time.Time      // when the present second of telling began
 	told       int            // limits in it
 	unreadable decisions.Once // endpoints whose limits were logged as unreadable
 }
 
-func newEndpoints(k *Keeper) *Endpoints {
+func newEndpoints(k *Controller) *Endpoints {
 	e := &Endpoints{opt: &k.opt, metrics: &k.metrics, book: limit.New(k.opt.Self), settled: make(chan struct{}), news: make(chan struct{}, 1), record: record.New(k.opt.Store, k.opt.Generations, recordName)}
 	e.shared = newSharer(k, quotapb.Kind_ENDPOINT, "limit", limit.Bounds)
 	e.shared.newest, e.shared.unreached = e.newest, e.unreached
-	e.limited.Store(&map[fleet.Incarnation]limit.Word{})
+	e.limited.Store(&map[fleet.Incarnation]limit.Report{})
 	return e
 }
 
 // Limit returns what an endpoint takes from all daemons, if it names a limit.
-func (e *Endpoints) Limit(life fleet.Incarnation) (limit.Word, bool) {
+func (e *Endpoints) Limit(life fleet.Incarnation) (limit.Report, bool) {
 	w, ok := (*e.limited.Load())[life]
 	return w, ok
 }
 
 // Limited returns all limits that endpoints name now. It must not be changed.
-func (e *Endpoints) Limited() map[fleet.Incarnation]limit.Word { return *e.limited.Load() }
+func (e *Endpoints) Limited() map[fleet.Incarnation]limit.Report { return *e.limited.Load() }
 
 // Admit counts a request for the endpoint that it is about to be sent to. If the endpoint has no
 // room within its limit, it returns the time until it has.
-func (e *Endpoints) Admit(ctx context.Context, life fleet.Incarnation, a backpressure.Ask) (t Ticket, ok bool, roomIn time.Duration) {
+func (e *Endpoints) Admit(ctx context.Context, life fleet.Incarnation, a backpressure.Request) (t Ticket, ok bool, roomIn time.Duration) {
 	w, limited := e.Limit(life)
 	if !limited {
 		return Ticket{}, true, 0
 	}
 	subject := life.String()
-	if e.shared.take(ctx, claim{subject: subject, limits: w.Limits(), version: w.Version, cost: oneRequest, rank: a.Rank, waits: a.Place != nil, timeLeft: max(0, a.Deadline.Sub(e.opt.Clock()))}) {
+	if e.shared.take(ctx, claim{subject: subject, limits: w.Limits(), version: w.Version, cost: oneRequest, rank: a.Rank, waits: a.Waiter != nil, timeLeft: max(0, a.Deadline.Sub(e.opt.Clock()))}) {
 		return Ticket{subject, oneRequest, e.opt.Clock()}, true, 0
 	}
 	e.metrics.heldBack.Inc(1)
@@ -99,23 +99,23 @@
 
 // Part returns the part of an endpoint's limit, in requests a second, that this daemon may count
 // on; zero where nobody has said.
-func (e *Endpoints) Part(life fleet.Incarnation) float64 { return e.shared.part(life.String()) }
+func (e *Endpoints) RateShare(life fleet.Incarnation) float64 { return e.shared.part(life.String()) }
 
 // Return takes back what a request was let through with that has not reached the endpoint.
-func (e *Endpoints) Return(t Ticket) { e.shared.giveBack(t) }
+func (e *Endpoints) Refund(t Ticket) { e.shared.giveBack(t) }
 
 // Heard takes what an answer says to a request that was sent at some time.
-func (e *Endpoints) Heard(life fleet.Incarnation, sent time.Time, said protocol.RateLimit) {
+func (e *Endpoints) ObserveReport(life fleet.Incarnation, sent time.Time, said protocol.RateLimit) {
 	if said.Unreadable != "" {
 		e.noteUnreadable(life, said)
 	}
-	if _, limited := e.Limit(life); !limited && !said.Named {
+	if _, limited := e.Limit(life); !limited && !said.Present {
 		return
 	}
 	now := e.opt.Clock()
 	e.mu.Lock()
-	c, changed := e.book.Heard(now, sent, life, said.Rate, said.Named)
-	tell := changed && c.Tell && e.mayTell(now)
+	c, changed := e.book.ObserveReport(now, sent, life, said.Rate, said.Present)
+	tell := changed && c.Publish && e.mayTell(now)
 	if changed {
 		e.publish()
 	}
@@ -124,7 +124,7 @@
 		return
 	}
 	if tell {
-		e.opt.Tell(factOf(c))
+		e.opt.Publish(factOf(c))
 	}
 	e.changed(now, c)
 }
@@ -150,10 +150,10 @@
 	if c.Before.Limited == c.Now.Limited && c.Before.Rate == c.Now.Rate {
 		return
 	}
-	e.opt.Limited(c.Life, c.Now)
+	e.opt.Limited(c.Incarnation, c.Now)
 	wake.Once(e.news)
-	if c.Before.Limited != c.Now.Limited || c.Tell {
-		e.opt.Log.Info(decisions.EventEndpointLimit, "endpoint", c.Life.ID, "born", c.Life.Born, "limited", c.Now.Limited, "rate", c.Now.Rate, "before", c.Before.Rate, "heard_by", c.Now.By, "age_ms", now.UnixMilli()-int64(c.Now.Version))
+	if c.Before.Limited != c.Now.Limited || c.Publish {
+		e.opt.Log.Info(decisions.EventEndpointLimit, "endpoint", c.Incarnation.ID, "born", c.Incarnation.StartUnixMs, "limited", c.Now.Limited, "rate", c.Now.Rate, "before", c.Before.Rate, "heard_by", c.Now.Reporter, "age_ms", now.UnixMilli()-int64(c.Now.Version))
 	}
 }
 
@@ -171,7 +171,7 @@
 }
 
 // Fact takes a limit that another daemon tells.
-func (e *Endpoints) Fact(f membership.Entry) {
+func (e *Endpoints) ReceiveFact(f membership.Entry) {
 	if !strings.HasPrefix(f.Key, FactPrefix) {
 		return
 	}
@@ -183,14 +183,14 @@
 	e.learn(life, word)
 }
 
-func (e *Endpoints) learn(life fleet.Incarnation, word limit.Word) {
+func (e *Endpoints) learn(life fleet.Incarnation, word limit.Report) {
 	now := e.opt.Clock()
 	e.mu.Lock()
-	c, changed := e.book.Told(now, life, word)
+	c, changed := e.book.ReceiveReport(now, life, word)
 	e.publish()
 	e.mu.Unlock()
 	if changed {
-		c.Tell = true // the other daemon has thought it worth a word
+		c.Publish = true // the other daemon has thought it worth a word
 		e.changed(now, c)
 	}
 }
@@ -200,18 +200,18 @@
 	now := e.opt.Clock()
 	e.mu.Lock()
 	var untold []limit.Change
-	for _, c := range e.book.Untold(now) {
+	for _, c := range e.book.TakePending(now) {
 		if e.mayTell(now) {
 			untold = append(untold, c)
 		}
 	}
-	dropped := e.book.Keep(now, e.opt.Listed)
+	dropped := e.book.Prune(now, e.opt.Listed)
 	if len(dropped) > 0 {
 		e.publish()
 	}
 	e.mu.Unlock()
 	for _, c := range untold {
-		e.opt.Tell(factOf(c))
+		e.opt.Publish(factOf(c))
 	}
 	for _, c := range dropped {
 		e.changed(now, c)
@@ -228,26 +228,26 @@
 		return told, false
 	}
 	e.mu.Lock()
-	w, known := e.book.Of(life)
+	w, known := e.book.Latest(life)
 	e.mu.Unlock()
 	if known && w.Version >= version {
 		return w.Limits(), !w.Limited
 	}
-	e.learn(life, limit.Word{Rate: told.Rate, Limited: true, Version: version})
+	e.learn(life, limit.Report{Rate: told.Rate, Limited: true, Version: version})
 	return told, false
 }
 
 // unreached is what a daemon that reaches no owner goes by: nothing. A limit may be less than a
 // request a daemon in many seconds, so that no part of it can be anybody's own.
 func (e *Endpoints) unreached(time.Time, quota.Draw) quota.Grant {
-	return quota.Grant{Over: true, Again: unreachedPause, RoomIn: unreachedPause}
+	return quota.Grant{NearLimit: true, NextDrawIn: unreachedPause, RetryAfter: unreachedPause}
 }
 
 // Views returns the endpoints that name a limit, for people.
 func (e *Endpoints) Views() []LimitView {
 	list := []LimitView{}
 	for life, w := range *e.limited.Load() {
-		v := LimitView{Endpoint: life.ID, Rate: w.Rate, HeardBy: w.By}
+		v := LimitView{Endpoint: life.ID, Rate: w.Rate, Reporter: w.Reporter}
 		if owned, ok := e.shared.view(life.String()); ok {
 			v.Owned = &owned
 		}
@@ -260,7 +260,7 @@
 type LimitView struct {
 	Endpoint string  `json:"endpoint"`
 	Rate     float64 `json:"rate"` // requests a second
-	HeardBy  string  `json:"heard_by"`
+	Reporter string  `json:"heard_by"`
 	// Owned is there where this daemon gives the limit out.
 	Owned *quota.View `json:"owned,omitempty"`
 }
@@ -273,18 +273,18 @@
 }
 
 func factOf(c limit.Change) membership.Entry {
-	value, _ := json.Marshal(fact{c.Now.Rate, c.Now.Limited, c.Now.By}) // rates are finite
-	return membership.Entry{Key: FactPrefix + c.Life.String(), Version: c.Now.Version, Value: value}
+	value, _ := json.Marshal(fact{c.Now.Rate, c.Now.Limited, c.Now.Reporter}) // rates are finite
+	return membership.Entry{Key: FactPrefix + c.Incarnation.String(), Version: c.Now.Version, Value: value}
 }
 
-func readFact(f membership.Entry) (fleet.Incarnation, limit.Word, error) {
+func readFact(f membership.Entry) (fleet.Incarnation, limit.Report, error) {
 	life, err := fleet.ParseIncarnation(strings.TrimPrefix(f.Key, FactPrefix))
 	if err != nil {
-		return life, limit.Word{}, err
+		return life, limit.Report{}, err
 	}
 	var said fact
 	if err := json.Unmarshal(f.Value, &said); err != nil {
-		return life, limit.Word{}, err
+		return life, limit.Report{}, err
 	}
-	return life, limit.Word{Rate: max(0, said.Rate), Limited: said.Limited, Version: f.Version, By: said.By}, nil
+	return life, limit.Report{Rate: max(0, said.Rate), Limited: said.Limited, Version: f.Version, Reporter: said.By}, nil
 }
--- a/driver/quotas/endpoints_test.go
+++ b/driver/quotas/endpoints_test.go
@@ -15,7 +15,7 @@
 var allSizes = flag.Bool("quotas.sizes", false, "limits of endpoints at hundreds of daemons")
 
 func newTarget(in *installation) *target {
-	return &target{in: in, life: fleet.Incarnation{ID: "i-1", Born: 7}, byRank: map[int]int{}}
+	return &target{in: in, life: fleet.Incarnation{ID: "i-1", StartUnixMs: 7}, byRank: map[int]int{}}
 }
 
 // An endpoint names a limit far below what daemons send: within a second all of them keep to
@@ -205,7 +205,7 @@
 		time.Sleep(8 * time.Second)
 		before := in.store.Calls()
 		in.store.Restore(copied)
-		in.heard.Heard(in.store.Generation(), "test")
+		in.heard.Observe(in.store.Generation(), "test")
 		time.Sleep(4 * time.Second)
 		if n := in.store.Calls() - before; n > 2 {
 			t.Errorf("%d calls to the store after its return, want a read and a write", n)
--- a/driver/quotas/fleet_test.go
+++ b/driver/quotas/fleet_test.go
@@ -59,7 +59,7 @@
 	mu     sync.Mutex
 	id     string
 	lives  int
-	keeper *Keeper
+	keeper *Controller
 	stop   context.CancelFunc
 	cut    bool      // from all other daemons
 	frozen time.Time // until then
@@ -78,10 +78,10 @@
 	joinFor   = 200 * time.Millisecond
 )
 
-func newInstallation(hosts int, seed uint64, list ...workspace.Declared) *installation {
+func newInstallation(hosts int, seed uint64, list ...workspace.Declaration) *installation {
 	in := &installation{
 		log: decisions.New(io.Discard, "test", hclog.Off), rng: rand.New(rand.NewPCG(seed, 0)),
-		bounds:    quota.Bounds{Window: 8 * time.Second, Overage: 0.1, Slack: 17000, Young: quota.YoungPart},
+		bounds:    quota.Bounds{Window: 8 * time.Second, Overage: 0.1, Slack: 17000, NewOwnerShare: quota.DefaultNewOwnerShare},
 		directory: workspace.NewDirectory(list), version: 1, passed: map[string][]passed{}, refused: map[string]int{}, offered: map[string][]passed{}, store: &record.Store{Takes: storeTakes},
 	}
 	in.heard = generations.New(in.log, tally.NoopScope)
@@ -111,7 +111,7 @@
 	h.mu.Unlock()
 	k := New(Options{
 		Self: h.id, Bounds: h.in.bounds, Members: h.members, Revision: func() uint64 { return uint64(time.Now().UnixNano() / int64(100*time.Millisecond)) },
-		Directory: h.in.workspaces, Tell: h.tell, Store: h.in.store, Generations: h.in.heard, Peer: func(address string) quotapb.Quotas { return link{h, address} }, Clock: time.Now, Log: h.in.log, Metrics: tally.NoopScope,
+		Directory: h.in.workspaces, Publish: h.tell, Store: h.in.store, Generations: h.in.heard, Peer: func(address string) quotapb.Quotas { return link{h, address} }, Clock: time.Now, Log: h.in.log, Metrics: tally.NoopScope,
 	})
 	h.mu.Lock()
 	if h.stop != nil {
@@ -143,14 +143,14 @@
 		}
 		time.AfterFunc(d, func() {
 			if k := o.current(); k != nil && !h.isCut() && !o.isCut() {
-				k.Endpoints().Fact(f)
+				k.Endpoints().ReceiveFact(f)
 			}
 		})
 	}
 }
 
 // hearFacts brings a daemon that has just joined the facts that the others know.
-func (h *host) hearFacts(k *Keeper) {
+func (h *host) hearFacts(k *Controller) {
 	time.Sleep(joinFor)
 	for _, o := range h.in.hosts {
 		other := o.current()
@@ -158,7 +158,7 @@
 			continue
 		}
 		for life, w := range other.Endpoints().Limited() {
-			k.Endpoints().Fact(factOf(limit.Change{Life: life, Now: w}))
+			k.Endpoints().ReceiveFact(factOf(limit.Change{Incarnation: life, Now: w}))
 		}
 	}
 	h.mu.Lock()
@@ -203,7 +203,7 @@
 	h.mu.Unlock()
 }
 
-func (h *host) current() *Keeper {
+func (h *host) current() *Controller {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if time.Now().Before(h.frozen) {
@@ -243,7 +243,7 @@
 	return in.directory, in.version
 }
 
-func (in *installation) declare(list ...workspace.Declared) {
+func (in *installation) declare(list ...workspace.Declaration) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	in.directory = workspace.NewDirectory(list)
@@ -308,7 +308,7 @@
 	}
 	directory, _ := in.workspaces()
 	came := time.Now()
-	_, refusal := k.Admit(context.Background(), directory.Named(name), cost, false)
+	_, refusal := k.Admit(context.Background(), directory.ByName(name), cost, false)
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	in.offered[name] = append(in.offered[name], passed{came, cost})
--- a/driver/quotas/quotas.go
+++ b/driver/quotas/quotas.go
@@ -55,8 +55,8 @@
 	Listed func(fleet.Incarnation) bool
 	// Tell offers a fact to all daemons, and Limited is told of each limit of an endpoint
 	// that begins, changes or ends here; nil: nobody is.
-	Tell    func(membership.Entry)
-	Limited func(fleet.Incarnation, limit.Word)
+	Publish func(membership.Entry)
+	Limited func(fleet.Incarnation, limit.Report)
 	// Store keeps what must outlast all daemons; nil: nothing does.
 	Store record.Store
 	// Generations keeps the highest generation of the store; nil: it names none.
@@ -68,7 +68,7 @@
 }
 
 // Keeper is safe for concurrent use.
-type Keeper struct {
+type Controller struct {
 	opt        Options
 	metrics    metrics
 	fleet      roster
@@ -82,21 +82,21 @@
 }
 
 // New returns a keeper.
-func New(opt Options) *Keeper {
+func New(opt Options) *Controller {
 	if opt.Clock == nil {
 		opt.Clock = clock.Now
 	}
 	if opt.Listed == nil {
 		opt.Listed = func(fleet.Incarnation) bool { return true }
 	}
-	if opt.Tell == nil {
-		opt.Tell = func(membership.Entry) {}
+	if opt.Publish == nil {
+		opt.Publish = func(membership.Entry) {}
 	}
 	if opt.Limited == nil {
-		opt.Limited = func(fleet.Incarnation, limit.Word) {}
+		opt.Limited = func(fleet.Incarnation, limit.Report) {}
 	}
 	m, l := opt.Metrics.SubScope("quota"), opt.Metrics.SubScope("limit")
-	k := &Keeper{opt: opt, metrics: metrics{
+	k := &Controller{opt: opt, metrics: metrics{
 		draws: m.Counter("draws_total"), failed: m.Counter("draws_failed_total"), forwarded: m.Counter("draws_forwarded_total"), refused: m.Counter("requests_refused_total"),
 		heldBack: l.Counter("requests_held_back_total"), unreadable: l.Counter("unreadable_total"), limited: l.Gauge("endpoints_limited"),
 	}}
@@ -107,7 +107,7 @@
 }
 
 // Endpoints returns the part that keeps to the limits of endpoints.
-func (k *Keeper) Endpoints() *Endpoints { return k.endpoints }
+func (k *Controller) Endpoints() *Endpoints { return k.endpoints }
 
 // Ticket is what a request was let through with; zero where nothing was counted.
 type Ticket struct {
@@ -117,13 +117,13 @@
 }
 
 // Run looks after the daemons that are there until ctx ends. Where nothing is shared it rests.
-func (k *Keeper) Run(ctx context.Context) error {
+func (k *Controller) Run(ctx context.Context) error {
 	k.endpoints.readFirst(ctx)
 	for ctx.Err() == nil {
 		pause.Until(ctx, time.Now().Add(tick), k.endpoints.news)
 		k.endpoints.keep()
 		k.endpoints.keepRecord(ctx)
-		if directory, _ := k.opt.Directory(); !directory.Keyed() && !k.endpoints.any() {
+		if directory, _ := k.opt.Directory(); !directory.RequiresKey() && !k.endpoints.any() {
 			pause.Until(ctx, time.Now().Add(restTick), k.endpoints.news)
 			continue
 		}
--- a/driver/quotas/quotas_test.go
+++ b/driver/quotas/quotas_test.go
@@ -22,8 +22,8 @@
 	runs      = flag.Int("quotas.runs", 6, "runs with random harms")
 )
 
-func declared(name string, rate, burst float64) workspace.Declared {
-	return workspace.Declared{Workspace: workspace.Workspace{Name: name, Quota: workspace.Quota{Unit: workspace.Tokens, Rate: rate, Burst: burst, Plain: 200}}}
+func declared(name string, rate, burst float64) workspace.Declaration {
+	return workspace.Declaration{Workspace: workspace.Workspace{Name: name, Quota: workspace.Quota{Unit: workspace.Tokens, Rate: rate, Burst: burst, DefaultTokens: 200}}}
 }
 
 func steady(rate float64) func(time.Duration) float64 {
@@ -52,7 +52,7 @@
 					limit float64
 					sends float64
 				}{{"large", 270_000 * scale, 0.55}, {"small", 4_200, 0.55}, {"hot", 100_000 * scale, 4}}
-				list := []workspace.Declared{}
+				list := []workspace.Declaration{}
 				for _, l := range loads {
 					list = append(list, declared(l.name, l.limit, l.limit))
 				}
@@ -225,7 +225,7 @@
 
 // ownerOf returns the host whose daemon owns the subject of a key, by the first one's view.
 func (in *installation) ownerOf(key string) *host {
-	owner := membership.Ablest(key, in.hosts[0].members())[0]
+	owner := membership.RendezvousByCapacity(key, in.hosts[0].members())[0]
 	i := slices.IndexFunc(in.hosts, func(h *host) bool { return h.name == owner.Host })
 	return in.hosts[i]
 }
@@ -252,7 +252,7 @@
 		held := all()
 		time.Sleep(in.bounds.Window / 2)
 		for _, ticket := range held {
-			k.Return(ticket)
+			k.Refund(ticket)
 		}
 		ran := len(all())
 		for range 40 {
@@ -265,7 +265,7 @@
 		}
 		now := all()
 		for _, ticket := range now {
-			k.Return(ticket)
+			k.Refund(ticket)
 		}
 		if again := all(); len(again) < len(now) {
 			t.Errorf("%d of %d are there again that were given back at once", len(again), len(now))
--- a/driver/quotas/record.go
+++ b/driver/quotas/record.go
@@ -44,7 +44,7 @@
 
 // Settle waits until a daemon that has just started has read which limits there are, for a
 // while.
-func (e *Endpoints) Settle(ctx context.Context) {
+func (e *Endpoints) WaitSynced(ctx context.Context) {
 	select {
 	case <-e.settled:
 	default:
@@ -55,7 +55,7 @@
 // readFirst reads the record as this daemon starts.
 func (e *Endpoints) readFirst(ctx context.Context) {
 	defer close(e.settled)
-	for e.record.Kept() && ctx.Err() == nil && e.opt.Clock().Sub(e.shared.fleet.started) < joinWithin {
+	for e.record.HasStore() && ctx.Err() == nil && e.opt.Clock().Sub(e.shared.fleet.started) < joinWithin {
 		err := e.readRecord(ctx)
 		if err == nil {
 			return
@@ -86,7 +86,7 @@
 }
 
 // differs reports whether limits should be written that were recorded otherwise.
-func differs(recorded map[fleet.Incarnation]float64, limited map[fleet.Incarnation]limit.Word) bool {
+func differs(recorded map[fleet.Incarnation]float64, limited map[fleet.Incarnation]limit.Report) bool {
 	if len(limited) != len(recorded) {
 		return true
 	}
@@ -106,9 +106,9 @@
 	}
 	e.recorded = map[fleet.Incarnation]float64{}
 	for _, l := range rec.Limits {
-		life := fleet.Incarnation{ID: l.Endpoint, Born: l.Born}
+		life := fleet.Incarnation{ID: l.Endpoint, StartUnixMs: l.Born}
 		e.recorded[life] = l.Rate
-		e.learn(life, limit.Word{Rate: max(0, l.Rate), Limited: true, Version: l.Version, By: recordName})
+		e.learn(life, limit.Report{Rate: max(0, l.Rate), Limited: true, Version: l.Version, Reporter: recordName})
 	}
 	if len(rec.Limits) > 0 {
 		e.opt.Log.Info(decisions.EventLimitsRecord, "read", true, "limited", len(rec.Limits), "version", e.record.Version())
@@ -116,14 +116,14 @@
 	return nil
 }
 
-func (e *Endpoints) writeRecord(ctx context.Context, limited map[fleet.Incarnation]limit.Word) error {
+func (e *Endpoints) writeRecord(ctx context.Context, limited map[fleet.Incarnation]limit.Report) error {
 	recorded := make(map[fleet.Incarnation]float64, len(limited))
 	var rec limitsRecord
 	for _, life := range slices.SortedFunc(maps.Keys(limited), func(a, b fleet.Incarnation) int { return cmp.Compare(a.ID, b.ID) }) {
 		w := limited[life]
 		recorded[life] = w.Rate
 		if len(rec.Limits) < recordMost {
-			rec.Limits = append(rec.Limits, recordedLimit{life.ID, life.Born, w.Rate, w.Version})
+			rec.Limits = append(rec.Limits, recordedLimit{life.ID, life.StartUnixMs, w.Rate, w.Version})
 		}
 	}
 	written, err := e.record.Write(ctx, e.opt.Clock(), rec)
--- a/driver/quotas/roster.go
+++ b/driver/quotas/roster.go
@@ -81,7 +81,7 @@
 	}
 	list, ok := r.ranked[key]
 	if !ok {
-		list = membership.Ablest(key, r.opt.Members())
+		list = membership.RendezvousByCapacity(key, r.opt.Members())
 		list = append([]membership.Member(nil), list[:min(rankKept, len(list))]...)
 		if len(r.ranked) >= ranksKept {
 			clear(r.ranked)
--- a/driver/quotas/serve.go
+++ b/driver/quotas/serve.go
@@ -16,20 +16,20 @@
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	resp, err := s.opt.Peer(m.PeerAddress).Draw(ctx, &quotapb.DrawRequest{
-		Daemon: d.Daemon, Subject: d.Subject, Kind: s.kind, Version: version, Rate: d.Limits.Rate, Burst: d.Limits.Burst, Need: d.Need, Waiting: int32(d.Waiting), Rank: int32(d.Rank), LeftMs: d.Left.Milliseconds(), Waits: d.Waits, Used: d.Used,
-		Offered: d.Offered, Requests: int32(d.Requests), Elsewhere: pastToWire(d.Elsewhere), Summary: summaryToWire(d.Summary), Inform: d.Inform, Forwarded: forwarded,
+		Daemon: d.Daemon, Subject: d.Subject, Kind: s.kind, Version: version, Rate: d.Limits.Rate, Burst: d.Limits.Burst, Need: d.Need, Waiting: int32(d.Waiting), Rank: int32(d.Rank), LeftMs: d.TimeLeft.Milliseconds(), Waits: d.Queued, Used: d.Used,
+		Offered: d.Offered, Requests: int32(d.Requests), Elsewhere: pastToWire(d.OtherGrants), Summary: summaryToWire(d.Summary), Inform: d.WantSummary, Forwarded: forwarded,
 	})
 	if err != nil {
 		return quota.Grant{}, "", err
 	}
-	return quota.Grant{Units: resp.Units, Ahead: resp.Ahead, Again: time.Duration(resp.AgainMs) * time.Millisecond, RoomIn: time.Duration(resp.RoomInMs) * time.Millisecond, Over: resp.Over, Spare: resp.Spare, Part: resp.Part, Summary: summaryFromWire(resp.Summary)}, resp.Owner, nil
+	return quota.Grant{Units: resp.Units, Allowance: resp.Ahead, NextDrawIn: time.Duration(resp.AgainMs) * time.Millisecond, RetryAfter: time.Duration(resp.RoomInMs) * time.Millisecond, NearLimit: resp.Over, SpareRate: resp.Spare, RateShare: resp.Part, Summary: summaryFromWire(resp.Summary)}, resp.Owner, nil
 }
 
 // errCount refuses a question that no daemon asks.
 var errCount = errors.New("counts of a draw must be numbers of at least 0")
 
 // Draw implements quotapb.Quotas.
-func (k *Keeper) Draw(_ context.Context, req *quotapb.DrawRequest) (*quotapb.DrawResponse, error) {
+func (k *Controller) Draw(_ context.Context, req *quotapb.DrawRequest) (*quotapb.DrawResponse, error) {
 	for _, count := range []float64{req.Need, req.Used, req.Offered, req.Rate, req.Burst} {
 		if !(count >= 0 && count <= math.MaxFloat64) {
 			return nil, errCount
@@ -52,8 +52,8 @@
 		return toWire(quota.Grant{Units: req.Need}, s.opt.Self)
 	}
 	d := quota.Draw{
-		Daemon: req.Daemon, Subject: req.Subject, Limits: limits, Need: req.Need, Waiting: int(req.Waiting), Rank: int(req.Rank), Left: time.Duration(req.LeftMs) * time.Millisecond, Waits: req.Waits, Used: req.Used, Offered: req.Offered, Requests: int(req.Requests),
-		Elsewhere: pastFromWire(req.Elsewhere), Summary: summaryFromWire(req.Summary), Inform: req.Inform,
+		Daemon: req.Daemon, Subject: req.Subject, Limits: limits, Need: req.Need, Waiting: int(req.Waiting), Rank: int(req.Rank), TimeLeft: time.Duration(req.LeftMs) * time.Millisecond, Queued: req.Waits, Used: req.Used, Offered: req.Offered, Requests: int(req.Requests),
+		OtherGrants: pastFromWire(req.Elsewhere), Summary: summaryFromWire(req.Summary), WantSummary: req.Inform,
 	}
 	if !req.Forwarded {
 		if g, owner, ok := s.forward(d, req.Version); ok {
@@ -79,10 +79,10 @@
 }
 
 func toWire(g quota.Grant, owner string) *quotapb.DrawResponse {
-	return &quotapb.DrawResponse{Units: g.Units, Ahead: g.Ahead, AgainMs: g.Again.Milliseconds(), RoomInMs: g.RoomIn.Milliseconds(), Over: g.Over, Spare: g.Spare, Part: g.Part, Owner: owner, Summary: summaryToWire(g.Summary)}
+	return &quotapb.DrawResponse{Units: g.Units, Ahead: g.Allowance, AgainMs: g.NextDrawIn.Milliseconds(), RoomInMs: g.RetryAfter.Milliseconds(), Over: g.NearLimit, Spare: g.SpareRate, Part: g.RateShare, Owner: owner, Summary: summaryToWire(g.Summary)}
 }
 
-func pastToWire(list []quota.Past) []*quotapb.Past {
+func pastToWire(list []quota.PastGrant) []*quotapb.Past {
 	out := make([]*quotapb.Past, len(list))
 	for i, p := range list {
 		out[i] = &quotapb.Past{AgeMs: p.Age.Milliseconds(), Units: p.Units, Owner: p.Owner}
@@ -90,11 +90,11 @@
 	return out
 }
 
-func pastFromWire(list []*quotapb.Past) []quota.Past {
-	out := make([]quota.Past, 0, len(list))
+func pastFromWire(list []*quotapb.Past) []quota.PastGrant {
+	out := make([]quota.PastGrant, 0, len(list))
 	for _, p := range list {
 		if p.GetUnits() > 0 && p.GetUnits() <= math.MaxFloat64 && p.GetAgeMs() >= 0 {
-			out = append(out, quota.Past{Owner: p.Owner, Age: time.Duration(p.AgeMs) * time.Millisecond, Units: p.Units})
+			out = append(out, quota.PastGrant{Owner: p.Owner, Age: time.Duration(p.AgeMs) * time.Millisecond, Units: p.Units})
 		}
 	}
 	return out
--- a/driver/quotas/sharer.go
+++ b/driver/quotas/sharer.go
@@ -64,7 +64,7 @@
 	return c.rank < o.rank || c.rank == o.rank && c.timeLeft < o.timeLeft
 }
 
-func newSharer(k *Keeper, kind quotapb.Kind, name string, bounds quota.Bounds) *sharer {
+func newSharer(k *Controller, kind quotapb.Kind, name string, bounds quota.Bounds) *sharer {
 	return &sharer{
 		kind: kind, name: name, opt: &k.opt, fleet: &k.fleet, metrics: &k.metrics, bounds: bounds,
 		client: quota.NewClient(k.opt.Self, bounds), owner: quota.NewOwner(k.opt.Self, bounds, k.opt.Clock()), flight: map[string]*flight{},
@@ -81,7 +81,7 @@
 		s.client.Offer(now, c.subject, c.cost)
 	}
 	verdict := s.client.Take(now, c.subject, c.cost, c.late)
-	if verdict == quota.Ask {
+	if verdict == quota.AskOwner {
 		f := s.join(c)
 		s.mu.Unlock()
 		select {
@@ -98,21 +98,21 @@
 func (s *sharer) refused(subject string, cost float64) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.client.Refused(s.opt.Clock(), subject, cost)
+	return s.client.AddRefusal(s.opt.Clock(), subject, cost)
 }
 
 // roomIn returns the time until there is room for one more request.
 func (s *sharer) roomIn(subject string) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.client.RoomIn(s.opt.Clock(), subject)
+	return s.client.RetryAfter(s.opt.Clock(), subject)
 }
 
 // part returns the part of a subject's rate that this daemon may count on.
 func (s *sharer) part(subject string) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.client.Part(subject)
+	return s.client.RateShare(subject)
 }
 
 // returnPart is the part of a window within which what was let through can be given back.
@@ -131,7 +131,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.client.Return(now, t.subject, t.cost)
+	s.client.Refund(now, t.subject, t.cost)
 }
 
 // join adds a request to the next question for its subject, and sends it if none is on its
@@ -219,15 +219,15 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f.left = true
-	d := s.client.Begin(s.opt.Clock(), c.subject, owner, c.limits, f.need, f.waiting)
-	d.Rank, d.Left, d.Waits = f.first.rank, f.first.timeLeft, f.first.waits
+	d := s.client.BeginDraw(s.opt.Clock(), c.subject, owner, c.limits, f.need, f.waiting)
+	d.Rank, d.TimeLeft, d.Queued = f.first.rank, f.first.timeLeft, f.first.waits
 	return d
 }
 
 func (s *sharer) granted(subject, owner string, g quota.Grant) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.client.Granted(s.opt.Clock(), subject, owner, g)
+	s.client.ReceiveGrant(s.opt.Clock(), subject, owner, g)
 }
 
 func (s *sharer) fail(subject string, m membership.Member, err error) {
@@ -237,7 +237,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.client.Failed(subject)
+	s.client.DrawFailed(subject)
 }
 
 // own answers as an owner.
@@ -251,7 +251,7 @@
 func (s *sharer) share(now time.Time, subject string, limits quota.Limits) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.client.Share(now, subject, s.bounds.Sustained(limits))
+	return s.client.RecentShare(now, subject, s.bounds.Sustained(limits))
 }
 
 // view returns how a subject's bucket stands, if this daemon takes itself for its owner.
@@ -269,9 +269,9 @@
 func (s *sharer) forget() {
 	now := s.opt.Clock()
 	s.mu.Lock()
-	s.client.Forget(now)
+	s.client.Expire(now)
 	s.mu.Unlock()
 	s.ownMu.Lock()
-	s.owner.Forget(now)
+	s.owner.Expire(now)
 	s.ownMu.Unlock()
 }
--- a/driver/quotas/target_test.go
+++ b/driver/quotas/target_test.go
@@ -79,8 +79,8 @@
 	if skip {
 		return
 	}
-	k.Endpoints().Settle(context.Background())
-	_, ok, roomIn := k.Endpoints().Admit(context.Background(), t.life, backpressure.Ask{Rank: rank})
+	k.Endpoints().WaitSynced(context.Background())
+	_, ok, roomIn := k.Endpoints().Admit(context.Background(), t.life, backpressure.Request{Rank: rank})
 	if !ok {
 		h.mu.Lock()
 		h.full = time.Now().Add(roomIn)
@@ -96,7 +96,7 @@
 	time.Sleep(answersIn)
 	said := t.at(time.Now())
 	if h.current() == k {
-		k.Endpoints().Heard(t.life, sent, protocol.RateLimit{Rate: said.rate, Named: said.limited})
+		k.Endpoints().ObserveReport(t.life, sent, protocol.RateLimit{Rate: said.rate, Present: said.limited})
 	}
 }
 
--- a/driver/quotas/view.go
+++ b/driver/quotas/view.go
@@ -17,7 +17,7 @@
 type counts struct{ passed, refused int64 }
 
 // View returns what this daemon knows of each workspace in force.
-func (k *Keeper) View() []View {
+func (k *Controller) View() []View {
 	directory, _ := k.opt.Directory()
 	list := make([]View, 0, len(directory.List()))
 	for _, w := range directory.List() {
--- a/driver/quotas/workspaces.go
+++ b/driver/quotas/workspaces.go
@@ -32,7 +32,7 @@
 	refusals map[string]tally.Counter
 }
 
-func newWorkspaces(k *Keeper) *workspaces {
+func newWorkspaces(k *Controller) *workspaces {
 	w := &workspaces{opt: &k.opt, metrics: &k.metrics, over: map[string]time.Time{}, counts: map[string]counts{}, refusals: map[string]tally.Counter{}}
 	w.shared = newSharer(k, quotapb.Kind_WORKSPACE, "quota", k.opt.Bounds)
 	w.shared.newest, w.shared.unreached = w.newest, w.unreached
@@ -41,7 +41,7 @@
 
 // Admit counts a request for its workspace, and refuses it where that is over its quota. late
 // says that the request has missed its latency objective already.
-func (k *Keeper) Admit(ctx context.Context, w *workspace.Workspace, cost float64, late bool) (Ticket, *protocol.Refusal) {
+func (k *Controller) Admit(ctx context.Context, w *workspace.Workspace, cost float64, late bool) (Ticket, *protocol.Refusal) {
 	if w == nil || !w.Quota.Bounded() || cost <= 0 {
 		return Ticket{}, nil
 	}
@@ -55,7 +55,7 @@
 }
 
 // Return gives back what a request was let through with that has not run.
-func (k *Keeper) Return(t Ticket) { k.workspaces.shared.giveBack(t) }
+func (k *Controller) Refund(t Ticket) { k.workspaces.shared.giveBack(t) }
 
 func (s *workspaces) count(name string, more counts) {
 	s.mu.Lock()
@@ -110,7 +110,7 @@
 // newest returns the limits of the newer desired state.
 func (s *workspaces) newest(subject string, version uint64, told quota.Limits) (limits quota.Limits, none bool) {
 	directory, own := s.opt.Directory()
-	if w := directory.Named(subject); w != nil && own >= version && w.Quota.Bounded() {
+	if w := directory.ByName(subject); w != nil && own >= version && w.Quota.Bounded() {
 		return limitsOf(w), false
 	}
 	return told, false
@@ -121,5 +121,5 @@
 // and take what it leaves, so what it lets through comes on top of the whole.
 func (s *workspaces) unreached(now time.Time, d quota.Draw) quota.Grant {
 	part := s.shared.share(now, d.Subject, d.Limits) + s.shared.fleet.aloneShare()
-	return s.shared.own(d, min(1, part)*s.shared.bounds.AlonePart(d.Limits))
+	return s.shared.own(d, min(1, part)*s.shared.bounds.IsolatedShare(d.Limits))
 }
--- a/driver/record/record.go
+++ b/driver/record/record.go
@@ -26,7 +26,7 @@
 }
 
 // Pause is the least time between two calls to the store.
-const Pause = time.Second
+const MinCallInterval = time.Second
 
 // timeout bounds a call.
 const timeout = 300 * time.Millisecond
@@ -47,10 +47,12 @@
 }
 
 // Kept reports whether there is a store to keep it.
-func (r *Record) Kept() bool { return r.store != nil }
+func (r *Record) HasStore() bool { return r.store != nil }
 
 // Due reports whether the last call is long enough ago for the next one.
-func (r *Record) Due(now time.Time) bool { return r.store != nil && now.Sub(r.triedAt) >= Pause }
+func (r *Record) Due(now time.Time) bool {
+	return r.store != nil && now.Sub(r.triedAt) >= MinCallInterval
+}
 
 // Known reports whether this daemon knows what the store holds: not where the store has come back
 // from a copy since.
@@ -74,7 +76,7 @@
 	if err != nil && !errors.Is(err, lease.ErrNotFound) {
 		return err
 	}
-	r.generations.Heard(version.Generation, "record")
+	r.generations.Observe(version.Generation, "record")
 	r.known, r.version = true, version
 	return nil
 }
--- a/driver/rollout/restore.go
+++ b/driver/rollout/restore.go
@@ -31,9 +31,9 @@
 	}
 	outcome := protocol.WriteUnknown
 	if err == nil {
-		_, outcome = r.platform.Put(ctx, platform.KindConfig, PointerName, version, older.Follow(step, writeID()))
+		_, outcome = r.platform.Put(ctx, platform.KindConfig, PointerName, version, older.MoveTo(step, writeID()))
 	}
-	r.log.Warn(decisions.EventRestoredState, "of", "rollout", "generation", step.Generation, "before", older.Generation, "written", outcome == protocol.WriteOK, "error", err)
+	r.log.Warn(decisions.EventStateRewritten, "of", "rollout", "generation", step.Generation, "before", older.Generation, "written", outcome == protocol.WriteOK, "error", err)
 }
 
 // restoreDrains writes drains again that the copy lacks or has otherwise. Only facts of an older
@@ -53,7 +53,7 @@
 			continue
 		}
 		err := r.SetDrain(ctx, endpoint, on, restoredBy)
-		r.log.Warn(decisions.EventRestoredState, "of", "drain", "endpoint", endpoint, "on", on, "written", err == nil, "error", err)
+		r.log.Warn(decisions.EventStateRewritten, "of", "drain", "endpoint", endpoint, "on", on, "written", err == nil, "error", err)
 	}
 }
 
--- a/driver/rollout/rollout.go
+++ b/driver/rollout/rollout.go
@@ -116,7 +116,7 @@
 	}
 	content, err := r.fetch(ctx, step)
 	if err != nil {
-		r.log.Warn(decisions.EventBundleUnread, "generation", step.Generation, "error", err)
+		r.log.Warn(decisions.EventBundlePending, "generation", step.Generation, "error", err)
 		return false
 	}
 	return r.adopt(step, content)
@@ -259,7 +259,7 @@
 		r.lostAt = time.Now()
 		r.log.Warn(decisions.EventDependencyLost, "dependency", "platform", "of", "configuration", "error", err, "generation", r.generation())
 	case err == nil && !r.lostAt.IsZero():
-		r.log.Info(decisions.EventDependencyBack, "dependency", "platform", "of", "configuration", "after_ms", time.Since(r.lostAt).Milliseconds(), "generation", r.generation())
+		r.log.Info(decisions.EventDependencyRegained, "dependency", "platform", "of", "configuration", "after_ms", time.Since(r.lostAt).Milliseconds(), "generation", r.generation())
 		r.lostAt = time.Time{}
 	}
 }
--- a/driver/storeview/age_test.go
+++ b/driver/storeview/age_test.go
@@ -175,10 +175,10 @@
 		want := func(when string, silent, away bool) {
 			t.Helper()
 			time.Sleep(4 * time.Second)
-			if got := v.Silent(time.Now()); got != silent {
+			if got := v.StoreUnresponsive(time.Now()); got != silent {
 				t.Errorf("%s: silent %v", when, got)
 			}
-			if got := v.StoreAway(time.Now()); got != away {
+			if got := v.StoreOutage(time.Now()); got != away {
 				t.Errorf("%s: away %v", when, got)
 			}
 		}
@@ -212,11 +212,11 @@
 // be named as gone.
 func TestListNotTakenGivesNoPlace(t *testing.T) {
 	inBubble(t, func(b *bubble) {
-		v := New(Options{Store: newFakeStore(), Decode: decodeVersion, Log: b.log, Within: leaveWithin, Heartbeat: heartbeat})
+		v := New(Options{Store: newFakeStore(), Decode: decodeVersion, Log: b.log, PropagationBound: leaveWithin, Heartbeat: heartbeat})
 		kept := fleetpb.Endpoint{Id: "kept", Service: "llm", Revision: 9}
 		list := func(source string, revision uint64, endpoints ...*fleetpb.Endpoint) {
 			resp := &fleetpb.FollowResponse{Source: source, Change: 1, Whole: true, Endpoints: endpoints, EndpointsRevision: revision}
-			if err := v.take(nil, resp, relay.Seen{}); err != nil {
+			if err := v.take(nil, resp, relay.Freshness{}); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/driver/storeview/bound_test.go
+++ b/driver/storeview/bound_test.go
@@ -192,7 +192,7 @@
 func (f *randomFleet) endpoint(id string, born int64, leaving bool) fleet.Endpoint {
 	e := fleet.Endpoint{ID: id, Service: "llm", Leaving: leaving}
 	if f.lives {
-		e.Born = born
+		e.StartUnixMs = born
 	}
 	return e
 }
@@ -211,7 +211,7 @@
 	}
 	return id + " started again", func(v *View) bool {
 		e := v.Endpoints().ByID[id]
-		return e != nil && e.Born == nextLife && !e.Leaving
+		return e != nil && e.StartUnixMs == nextLife && !e.Leaving
 	}
 }
 
--- a/driver/storeview/follow.go
+++ b/driver/storeview/follow.go
@@ -95,7 +95,7 @@
 	if kind == relay.DesiredState {
 		wait = min(v.part(configPart), configMost)
 	}
-	left := v.part(refreshPart) - asked.Sub(f.SeenAt())
+	left := v.part(refreshPart) - asked.Sub(f.AsOf())
 	return asked, min(wait, max(left, v.part(watchLeast))), f.Since()
 }
 
@@ -124,9 +124,9 @@
 		return until, nil
 	}
 	if failing := f.FailingSince(); !failing.IsZero() {
-		v.opt.Log.Info(decisions.EventDependencyBack, "dependency", "store", "of", kind.String(), "through", "peer", "after_ms", now.Sub(failing).Milliseconds())
+		v.opt.Log.Info(decisions.EventDependencyRegained, "dependency", "store", "of", kind.String(), "through", "peer", "after_ms", now.Sub(failing).Milliseconds())
 	}
-	f.Rest()
+	f.Suspend()
 	return until, v.roleTaken
 }
 
@@ -145,7 +145,7 @@
 			v.opt.Log.Warn(decisions.EventDependencyLost, "dependency", "store", "of", kind.String(), "error", err, "revision", f.Since())
 		}
 	case !failing.IsZero():
-		v.opt.Log.Info(decisions.EventDependencyBack, "dependency", "store", "of", kind.String(), "after_ms", now.Sub(failing).Milliseconds(), "revision", f.Since())
+		v.opt.Log.Info(decisions.EventDependencyRegained, "dependency", "store", "of", kind.String(), "after_ms", now.Sub(failing).Milliseconds(), "revision", f.Since())
 	}
 }
 
@@ -174,9 +174,9 @@
 // noteOutage takes an answer of the store as of a version, also one that another daemon tells
 // of, before it changes what is known; the caller holds the mutex.
 func (v *View) noteOutage(now time.Time, stored storeversion.Version) {
-	v.outage.Ended(now, v.seen()[relay.Endpoints], v.endpoints.Failures())
+	v.outage.ObserveAnswer(now, v.seen()[relay.Endpoints], v.endpoints.Failures())
 	if known := v.registry.Version(); known.Generation < stored.Generation && !known.Absent() {
-		v.outage.Restored(now)
+		v.outage.ObserveRestore(now)
 	}
 }
 
@@ -187,7 +187,7 @@
 // heardStore takes the version that an answer of the store is as of, and returns why what the answer
 // tells cannot be used.
 func (v *View) heardStore(stored storeversion.Version, of relay.Kind) error {
-	v.opt.Generations.Heard(stored.Generation, "store")
+	v.opt.Generations.Observe(stored.Generation, "store")
 	v.mu.Lock()
 	v.heardGeneration(v.opt.Clock(), stored.Generation)
 	v.mu.Unlock()
@@ -259,5 +259,5 @@
 	v.mu.Lock()
 	left := v.outage.GraceUntil().Sub(v.opt.Clock())
 	v.mu.Unlock()
-	v.opt.Log.Info(decisions.EventEndpointKept, "endpoints", ids, "for_ms", left.Milliseconds())
+	v.opt.Log.Info(decisions.EventMissingEndpointKept, "endpoints", ids, "for_ms", left.Milliseconds())
 }
--- a/driver/storeview/lives.go
+++ b/driver/storeview/lives.go
@@ -20,7 +20,7 @@
 func (v *View) takeUnusable(list []discovery.Unusable, stored storeversion.Version) (fresh []discovery.Unusable) {
 	for _, u := range list {
 		if u.ID != "" {
-			v.registry.Unusable(u.ID, stored)
+			v.registry.MarkUnusable(u.ID, stored)
 		}
 		if at, ok := v.unusable[u.ID]; !ok || at != u.Version {
 			fresh = append(fresh, u)
@@ -42,7 +42,7 @@
 
 // Unusable returns the number of entries that this daemon has read in the store and
 // that name no endpoint to use. Daemons that take from others read none.
-func (v *View) Unusable() int {
+func (v *View) UnusableCount() int {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return len(v.unusable)
@@ -62,10 +62,10 @@
 func (v *View) logReborn(old, next *fleet.View, from string) {
 	for id, e := range next.ByID {
 		o := old.ByID[id]
-		if o == nil || !o.Life().Before(e.Life()) {
+		if o == nil || !o.Incarnation().Before(e.Incarnation()) {
 			continue
 		}
-		v.opt.Log.Info(decisions.EventEndpointReborn, "endpoint", id, "born", e.Born, "born_before", o.Born, "was_leaving", o.Leaving, "revision", e.Version, "from", from,
+		v.opt.Log.Info(decisions.EventEndpointRestarted, "endpoint", id, "born", e.StartUnixMs, "born_before", o.StartUnixMs, "was_leaving", o.Leaving, "revision", e.Version, "from", from,
 			"models_dropped", len(o.Models))
 	}
 }
--- a/driver/storeview/peers.go
+++ b/driver/storeview/peers.go
@@ -54,7 +54,7 @@
 func (v *View) peersPause() time.Duration {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if v.registry.Pending() {
+	if v.registry.ExpiryPending() {
 		return graceTick
 	}
 	return peersAfter
--- a/driver/storeview/proof.go
+++ b/driver/storeview/proof.go
@@ -22,7 +22,7 @@
 		return
 	}
 	if seen := v.provenAt(now); !seen.IsZero() {
-		v.proof.frozen, v.proof.until = seen, now.Add(discovery.WrittenAgainWithin)
+		v.proof.frozen, v.proof.until = seen, now.Add(discovery.RestoreRewriteWindow)
 	}
 	v.proof.generation = generation
 }
@@ -37,7 +37,7 @@
 
 // ProvenAge returns up to how long ago it is certain that the desired state in force was the newest;
 // maxAge before the first word.
-func (v *View) ProvenAge() time.Duration {
+func (v *View) StalenessBound() time.Duration {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	now := v.opt.Clock()
--- a/driver/storeview/relay.go
+++ b/driver/storeview/relay.go
@@ -76,7 +76,7 @@
 		}
 		failed := err != nil || age >= v.part(stalePart)
 		if failed && !failing {
-			v.opt.Log.Info(decisions.EventUpstreamLeft, "error", err, "age_ms", age.Milliseconds(), "took_ms", v.opt.Clock().Sub(started).Milliseconds())
+			v.opt.Log.Info(decisions.EventUpstreamDropped, "error", err, "age_ms", age.Milliseconds(), "took_ms", v.opt.Clock().Sub(started).Milliseconds())
 		}
 		if failing = failed; failing {
 			pause.For(ctx, pollRetry)
@@ -135,7 +135,7 @@
 	}
 	made := asked.Add(milliseconds(resp.HeldMs)) // or later: the way there is not counted
 	v.logLate("peer", relay.Endpoints, made, nil)
-	seen := relay.Seen{relay.Endpoints: asOf(made, resp.AgeMs), relay.DesiredState: asOf(made, resp.ConfigAgeMs)}
+	seen := relay.Freshness{relay.Endpoints: asOf(made, resp.AgeMs), relay.DesiredState: asOf(made, resp.ConfigAgeMs)}
 	return seen.Age(v.opt.Clock(), maxAge), v.take(peer, resp, seen)
 }
 
@@ -151,7 +151,7 @@
 }
 
 // take adopts what another daemon has told.
-func (v *View) take(peer fleetpb.Fleet, resp *fleetpb.FollowResponse, seen relay.Seen) error {
+func (v *View) take(peer fleetpb.Fleet, resp *fleetpb.FollowResponse, seen relay.Freshness) error {
 	if len(resp.PackedConfig) > 0 {
 		raw, err := unpack(resp.PackedConfig)
 		if err == nil {
@@ -181,7 +181,7 @@
 func (v *View) heardPeer(resp *fleetpb.FollowResponse) error {
 	told := toldVersion(resp)
 	heard := max(told.Generation, resp.HighestGeneration)
-	v.opt.Generations.Heard(heard, "peer")
+	v.opt.Generations.Observe(heard, "peer")
 	v.mu.Lock()
 	v.heardGeneration(v.opt.Clock(), heard)
 	known := v.registry.Version()
@@ -195,7 +195,7 @@
 
 // takeFrom adopts another daemon's endpoints and the place in its changes; the caller holds
 // the mutex.
-func (v *View) takeFrom(now time.Time, peer fleetpb.Fleet, resp *fleetpb.FollowResponse, seen relay.Seen) (kept []string) {
+func (v *View) takeFrom(now time.Time, peer fleetpb.Fleet, resp *fleetpb.FollowResponse, seen relay.Freshness) (kept []string) {
 	if now.Sub(seen[relay.Endpoints]) < v.part(stalePart) {
 		v.noteOutage(now, toldVersion(resp))
 	}
@@ -211,7 +211,7 @@
 		taken[relay.DesiredState] = time.Time{} // known by its version only
 		v.catchUpSoon()
 	}
-	v.source.Heard(now, seen, taken)
+	v.source.Receive(now, seen, taken)
 	return kept
 }
 
--- a/driver/storeview/restore_test.go
+++ b/driver/storeview/restore_test.go
@@ -30,7 +30,7 @@
 }
 
 func (r *restoring) write(id string, leaving bool) {
-	r.store.setEndpoint(fleet.Endpoint{ID: id, Born: r.born[id], Service: "llm", Leaving: leaving})
+	r.store.setEndpoint(fleet.Endpoint{ID: id, StartUnixMs: r.born[id], Service: "llm", Leaving: leaving})
 }
 
 // restore takes the store away for a moment and brings it back from a copy. Who is alive writes
@@ -52,12 +52,12 @@
 			r.mu.Lock()
 			defer r.mu.Unlock()
 			if born, alive := r.born[id]; alive {
-				r.store.setEndpoint(fleet.Endpoint{ID: id, Born: born, Service: "llm"})
+				r.store.setEndpoint(fleet.Endpoint{ID: id, StartUnixMs: born, Service: "llm"})
 			}
 		}()
 	}
 	for _, e := range c.list {
-		if r.born[e.ID] != e.Born {
+		if r.born[e.ID] != e.StartUnixMs {
 			go func() {
 				pause.For(r.ctx, lapsed)
 				r.mu.Lock()
@@ -105,15 +105,15 @@
 		for id, born := range r.ended {
 			e := v.ByID[id]
 			switch {
-			case e == nil || e.Leaving || e.Born > born:
+			case e == nil || e.Leaving || e.StartUnixMs > born:
 				ended[id] = max(ended[id], min(born, known[id]))
-			case ended[id] >= e.Born:
+			case ended[id] >= e.StartUnixMs:
 				t.Errorf("seed %d: %s takes %s again, which had ended, %v after the start", r.seed, m.name, id, time.Since(testStart))
 				ended[id] = 0
 			}
 		}
 		for id, e := range v.ByID {
-			known[id] = e.Born
+			known[id] = e.StartUnixMs
 		}
 		r.mu.Unlock()
 		pause.For(r.ctx, 50*time.Millisecond)
@@ -207,22 +207,22 @@
 				s := newFakeStore()
 				s.generation = 1
 				for i := range 12 {
-					s.setEndpoint(fleet.Endpoint{ID: fmt.Sprint("e", i), Born: 1000, Service: "llm"})
+					s.setEndpoint(fleet.Endpoint{ID: fmt.Sprint("e", i), StartUnixMs: 1000, Service: "llm"})
 				}
 				views := b.manyDaemons(s, n)
 				time.Sleep(5 * time.Second)
 				c := s.copyNow()
 				for range 30 {
-					s.setEndpoint(fleet.Endpoint{ID: "e0", Born: 1000, Service: "llm"})
+					s.setEndpoint(fleet.Endpoint{ID: "e0", StartUnixMs: 1000, Service: "llm"})
 				}
-				s.setEndpoint(fleet.Endpoint{ID: "new", Born: 1000, Service: "llm"})
+				s.setEndpoint(fleet.Endpoint{ID: "new", StartUnixMs: 1000, Service: "llm"})
 				time.Sleep(5 * time.Second)
 				before, _ := s.counts()
 				time.Sleep(5 * time.Second)
 				calm, _ := s.counts()
 				s.restore(c)
-				s.setEndpoint(fleet.Endpoint{ID: "e0", Born: 1000, Service: "llm", Leaving: true})
-				s.setEndpoint(fleet.Endpoint{ID: "comer", Born: 1000, Service: "llm"})
+				s.setEndpoint(fleet.Endpoint{ID: "e0", StartUnixMs: 1000, Service: "llm", Leaving: true})
+				s.setEndpoint(fleet.Endpoint{ID: "comer", StartUnixMs: 1000, Service: "llm"})
 				time.Sleep(leaveWithin - boundMargin)
 				for i, v := range views {
 					if v.takes("e0") || !v.takes("comer") || !v.takes("new") {
@@ -252,16 +252,16 @@
 	inBubble(t, func(b *bubble) {
 		s := newFakeStore()
 		s.generation = 3
-		s.setEndpoint(fleet.Endpoint{ID: "a", Born: 1000, Service: "llm"})
+		s.setEndpoint(fleet.Endpoint{ID: "a", StartUnixMs: 1000, Service: "llm"})
 		v := b.view(s, nil)
 		time.Sleep(3 * time.Second)
 		age := v.Age(relay.Endpoints)
-		v.opt.Generations.Heard(4, "peer")
+		v.opt.Generations.Observe(4, "peer")
 		time.Sleep(3 * time.Second)
 		if got := v.Age(relay.Endpoints); got < age+2*time.Second {
 			t.Errorf("answers of an older generation keep the view young: %v, %v before", got, age)
 		}
-		if !v.Silent(v.opt.Clock()) {
+		if !v.StoreUnresponsive(v.opt.Clock()) {
 			t.Error("the store counts as heard")
 		}
 		if !v.takes("a") {
@@ -313,16 +313,16 @@
 	inBubble(t, func(b *bubble) {
 		s := newFakeStore()
 		s.generation = 1
-		s.setEndpoint(fleet.Endpoint{ID: "a", Born: 1000, Service: "llm"})
+		s.setEndpoint(fleet.Endpoint{ID: "a", StartUnixMs: 1000, Service: "llm"})
 		v := b.view(s, nil)
 		time.Sleep(3 * time.Second)
 		c := s.copyNow()
-		s.setEndpoint(fleet.Endpoint{ID: "b", Born: 1000, Service: "llm"})
+		s.setEndpoint(fleet.Endpoint{ID: "b", StartUnixMs: 1000, Service: "llm"})
 		time.Sleep(v.part(gatherPart) / 2) // after the watch that has brought it, before the next
 		s.restore(c)
-		s.setEndpoint(fleet.Endpoint{ID: "a", Born: 1000, Service: "llm", Leaving: true})
+		s.setEndpoint(fleet.Endpoint{ID: "a", StartUnixMs: 1000, Service: "llm", Leaving: true})
 		for range 5 {
-			s.setEndpoint(fleet.Endpoint{ID: "b", Born: 1000, Service: "llm"})
+			s.setEndpoint(fleet.Endpoint{ID: "b", StartUnixMs: 1000, Service: "llm"})
 		}
 		time.Sleep(leaveWithin - boundMargin)
 		if v.takes("a") || !v.takes("b") {
--- a/driver/storeview/revoke_test.go
+++ b/driver/storeview/revoke_test.go
@@ -38,7 +38,7 @@
 	time.Sleep(time.Duration(f.rng.IntN(2000)) * time.Millisecond)
 	f.store.restore(c)
 	f.store.setAway(false)
-	newest, after := f.version, time.Duration(f.rng.Int64N(int64(discovery.WrittenAgainWithin-100*time.Millisecond)))
+	newest, after := f.version, time.Duration(f.rng.Int64N(int64(discovery.RestoreRewriteWindow-100*time.Millisecond)))
 	go func() {
 		pause.For(f.ctx, after)
 		f.store.mu.Lock()
@@ -77,7 +77,7 @@
 				time.Sleep(time.Duration(f.rng.IntN(400)) * time.Millisecond)
 				for _, m := range f.members {
 					sound := m.sound()
-					age := m.peer.view.ProvenAge() // before the table, as requests read them
+					age := m.peer.view.StalenessBound() // before the table, as requests read them
 					version := int(m.peer.view.Table().Version)
 					if version+1 < len(confirmed) && time.Since(confirmed[version+1]) > age {
 						t.Errorf("seed %d: %s has version %d and takes it for %v old, but the next was confirmed %v ago; harms: %v", seed, m.name, version, age, time.Since(confirmed[version+1]), f.lastHarms())
--- a/driver/storeview/serve.go
+++ b/driver/storeview/serve.go
@@ -26,7 +26,7 @@
 		a := v.newer(req)
 		if over || a.resp.ConfigVersion > req.ConfigVersion || !a.delta.Empty() || a.resp.Heard > req.Heard {
 			a.attachDesired(req)
-			a.resp.Whole, a.resp.Gone, a.resp.Endpoints = a.delta.Whole, a.delta.Gone, toWire(a.delta.Endpoints)
+			a.resp.Whole, a.resp.Gone, a.resp.Endpoints = a.delta.Whole, a.delta.Removed, toWire(a.delta.Endpoints)
 			a.tellAges(asked, v.opt.Clock())
 			return a.resp, nil
 		}
@@ -54,7 +54,7 @@
 // that a daemon which takes from this one leaves it then and not at the end of its
 // poll; maxAge if it is too old already, and nothing gets worse by the wait.
 func (v *View) freshFor(now time.Time) time.Duration {
-	left := v.part(stalePart) - v.Seen().Age(now, maxAge)
+	left := v.part(stalePart) - v.Freshness().Age(now, maxAge)
 	if left <= 0 {
 		return maxAge
 	}
@@ -66,7 +66,7 @@
 	resp    *fleetpb.FollowResponse
 	delta   relay.Delta
 	desired *desiredContent // nil before the first
-	seen    relay.Seen
+	seen    relay.Freshness
 	told    <-chan struct{} // closed when there is more
 }
 
@@ -75,7 +75,7 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	view := v.view.Load()
-	a := &news{resp: &fleetpb.FollowResponse{Source: v.opt.Self, Change: v.changes.Change(), Heard: v.heard, ConfigVersion: v.version(), EndpointsRevision: view.Version.Revision, Generation: view.Version.Generation, HighestGeneration: v.opt.Generations.Highest()}}
+	a := &news{resp: &fleetpb.FollowResponse{Source: v.opt.Self, Change: v.changes.LastChange(), Heard: v.heard, ConfigVersion: v.version(), EndpointsRevision: view.Version.Revision, Generation: view.Version.Generation, HighestGeneration: v.opt.Generations.Highest()}}
 	a.desired, a.seen, a.told = v.desired, v.seen(), v.told
 	a.delta = v.changes.Since(req.Change, req.Source == v.opt.Self, view)
 	if known := (storeversion.Version{Generation: req.Generation, Revision: req.EndpointsRevision}); a.delta.Whole && view.Version.Before(known) {
--- a/driver/storeview/storeview.go
+++ b/driver/storeview/storeview.go
@@ -48,7 +48,7 @@
 	Upstreams func() (watches bool, order []fleetpb.Fleet)
 	// Within is the time in which a change in the store must be in force here: a
 	// leaving endpoint gets no more requests, a desired state is served by.
-	Within time.Duration
+	PropagationBound time.Duration
 	// Heartbeat is the time between two heartbeats of an endpoint.
 	Heartbeat time.Duration
 	// Generations keeps the highest generation of the store; nil: the view's own.
@@ -80,7 +80,7 @@
 	upstream   upstreamState
 	changes    *relay.ChangeLog // of this daemon's view, for those that take from it
 	told       chan struct{}    // closed when there is something newer to tell
-	toldSeen   relay.Seen       // when it was closed last
+	toldSeen   relay.Freshness  // when it was closed last
 	heard      uint64           // counts how often more was seen
 	roleTaken  chan struct{}    // closed when this daemon begins to follow the store itself
 	onChange   []func()
@@ -106,9 +106,9 @@
 		setAside: opt.Metrics.SubScope("view").Counter("answers_set_aside_total"),
 		opt:      opt, registry: discovery.NewRegistry(opt.Heartbeat), watches: true, changes: relay.NewChangeLog(), told: make(chan struct{}),
 		unusable: map[string]storeversion.Version{}, roleTaken: make(chan struct{}), named: make(chan struct{}, 1), outage: discovery.NewOutage(opt.Heartbeat),
-		config: discovery.NewFollower(discovery.FollowOptions{Retry: retryFirst, RetryMost: retryMost}),
+		config: discovery.NewFollower(discovery.FollowOptions{Retry: retryFirst, MaxRetry: retryMost}),
 	}
-	v.endpoints = discovery.NewFollower(discovery.FollowOptions{Pause: v.part(gatherPart), Retry: retryFirst, RetryMost: retryMost})
+	v.endpoints = discovery.NewFollower(discovery.FollowOptions{Pause: v.part(gatherPart), Retry: retryFirst, MaxRetry: retryMost})
 	v.source = relay.NewSource(v.part(stalePart))
 	v.directFrom = v.opt.Clock().Add(startGrace)
 	v.view.Store(fleet.NewView(storeversion.Version{}, nil))
@@ -117,7 +117,7 @@
 
 // part returns a part of the time in which a change must be in force.
 func (v *View) part(p float64) time.Duration {
-	return time.Duration(p * float64(v.opt.Within))
+	return time.Duration(p * float64(v.opt.PropagationBound))
 }
 
 // Table returns the desired state in force, nil before the first.
@@ -159,7 +159,7 @@
 	v.table.Store(t)
 	v.tell()
 	v.mu.Unlock()
-	v.opt.Log.Info(decisions.EventDesiredState, "version", t.Version, "from", from, "revision", stored, "routes", t.Routes())
+	v.opt.Log.Info(decisions.EventDesiredState, "version", t.Version, "from", from, "revision", stored, "routes", t.RouteCount())
 	v.logWorkspaces(old, t)
 	v.changed()
 	return nil
@@ -172,15 +172,15 @@
 	if old != nil {
 		before = len(old.Workspaces.List())
 	}
-	if n, shared := len(next.Workspaces.List()), next.Workspaces.Shared(); n != before || shared > 0 {
+	if n, shared := len(next.Workspaces.List()), next.Workspaces.SharedKeys(); n != before || shared > 0 {
 		v.opt.Log.Info(decisions.EventWorkspaces, "version", next.Version, "workspaces", n, "shared_keys", shared)
 	}
 }
 
 // EndpointLeaving takes an endpoint's own word that it leaves.
-func (v *View) EndpointLeaving(life fleet.Incarnation) {
+func (v *View) ObserveLeaving(life fleet.Incarnation) {
 	v.mu.Lock()
-	v.registry.Leave(life)
+	v.registry.MarkLeaving(life)
 	v.mu.Unlock()
 	v.publish("endpoint")
 }
@@ -222,7 +222,7 @@
 	kept := take(v.opt.Clock())
 	c := v.refresh()
 	v.tell()
-	aside := v.registry.TakeSetAside()
+	aside := v.registry.TakeDiscarded()
 	known := v.registry.Version()
 	v.mu.Unlock()
 	if before.Generation < known.Generation && !before.Absent() {
@@ -258,30 +258,30 @@
 const loggedIDs = 8
 
 // logSetAside logs what an answer told that was older than what is known.
-func (v *View) logSetAside(a discovery.SetAside, from string, known storeversion.Version) {
+func (v *View) logSetAside(a discovery.Discarded, from string, known storeversion.Version) {
 	if a.Empty() {
 		return
 	}
 	v.setAside.Inc(1)
-	v.opt.Log.Info(decisions.EventSetAside, "from", from, "of", relay.Endpoints.String(), "lists", a.Lists,
+	v.opt.Log.Info(decisions.EventStaleDiscarded, "from", from, "of", relay.Endpoints.String(), "lists", a.Lists,
 		"endpoints", a.Endpoints[:min(len(a.Endpoints), loggedIDs)], "others", max(0, len(a.Endpoints)-loggedIDs), "revision", known)
 }
 
 // noteSetAside counts and logs an answer that is set aside as a whole.
 func (v *View) noteSetAside(from string, of relay.Kind, told, known storeversion.Version) {
 	v.setAside.Inc(1)
-	v.opt.Log.Info(decisions.EventSetAside, "from", from, "of", of.String(), "lists", 1, "told", told, "revision", known)
+	v.opt.Log.Info(decisions.EventStaleDiscarded, "from", from, "of", of.String(), "lists", 1, "told", told, "revision", known)
 }
 
 // logRestored logs that the endpoints were taken anew, of a later generation of the store.
 func (v *View) logRestored(before, known storeversion.Version, from string, c viewChange, kept []string) {
 	changed := 0
 	for id, e := range c.next.ByID {
-		if o := c.old.ByID[id]; o == nil || o.Leaving != e.Leaving || !o.Life().Same(e.Life()) {
+		if o := c.old.ByID[id]; o == nil || o.Leaving != e.Leaving || !o.Incarnation().Matches(e.Incarnation()) {
 			changed++
 		}
 	}
-	v.opt.Log.Info(decisions.EventRestored, "before", before, "revision", known, "from", from, "endpoints", len(c.next.ByID), "changed", changed, "kept", len(kept))
+	v.opt.Log.Info(decisions.EventEndpointsRestored, "before", before, "revision", known, "from", from, "endpoints", len(c.next.ByID), "changed", changed, "kept", len(kept))
 }
 
 func (v *View) logChange(old, next *fleet.View, from string) {
--- a/driver/storeview/storeview_test.go
+++ b/driver/storeview/storeview_test.go
@@ -325,7 +325,7 @@
 // view returns a running view of a store.
 func (b *bubble) view(s Store, change func(*Options)) *View {
 	opt := Options{
-		Store: s, Decode: decodeVersion, Log: b.log, Within: leaveWithin, Heartbeat: heartbeat, Self: "alone", Peer: func() fleetpb.Fleet { return nil },
+		Store: s, Decode: decodeVersion, Log: b.log, PropagationBound: leaveWithin, Heartbeat: heartbeat, Self: "alone", Peer: func() fleetpb.Fleet { return nil },
 		Upstreams: func() (bool, []fleetpb.Fleet) { return true, nil },
 	}
 	if change != nil {
@@ -682,7 +682,7 @@
 func TestLongDrainBound(t *testing.T) {
 	inBubble(t, func(b *bubble) {
 		s := newFakeStore()
-		long := func(o *Options) { o.Within = longDrain }
+		long := func(o *Options) { o.PropagationBound = longDrain }
 		v := b.view(s, long)
 		up := &upstream{view: v}
 		b.view(s, func(o *Options) {
--- a/driver/storeview/suspended_test.go
+++ b/driver/storeview/suspended_test.go
@@ -12,7 +12,7 @@
 func TestAgeCountsSuspension(t *testing.T) {
 	suspended := time.Duration(0)
 	start := time.Now()
-	v := New(Options{Within: time.Second, Clock: func() time.Time { return start.Add(suspended) }})
+	v := New(Options{PropagationBound: time.Second, Clock: func() time.Time { return start.Add(suspended) }})
 	v.mu.Lock()
 	v.endpoints.Listed(start, start, storeversion.Version{Revision: 1})
 	v.mu.Unlock()
--- a/driver/storeview/wire.go
+++ b/driver/storeview/wire.go
@@ -13,7 +13,7 @@
 	out := make([]*fleetpb.Endpoint, len(list))
 	for i, e := range list {
 		out[i] = &fleetpb.Endpoint{
-			Id: e.ID, Born: e.Born, Service: e.Service, Address: e.Address, Domain: e.Domain, Slots: int32(e.Slots), Software: e.Software,
+			Id: e.ID, Born: e.StartUnixMs, Service: e.Service, Address: e.Address, Domain: e.FailureDomain, Slots: int32(e.Slots), Software: e.Software,
 			Leaving: e.Leaving, Missing: e.Missing, RemainingMs: e.Remaining.Milliseconds(), Revision: e.Version.Revision, Generation: e.Version.Generation,
 		}
 		for _, m := range e.Models {
@@ -27,11 +27,11 @@
 	out := make([]*fleet.Endpoint, len(list))
 	for i, e := range list {
 		out[i] = &fleet.Endpoint{
-			ID: e.Id, Born: e.Born, Service: e.Service, Address: e.Address, Domain: e.Domain, Slots: int(e.Slots), Software: e.Software,
+			ID: e.Id, StartUnixMs: e.Born, Service: e.Service, Address: e.Address, FailureDomain: e.Domain, Slots: int(e.Slots), Software: e.Software,
 			Leaving: e.Leaving, Missing: e.Missing, Remaining: time.Duration(e.RemainingMs) * time.Millisecond, Version: storeversion.Version{Generation: e.Generation, Revision: e.Revision},
 		}
 		for _, m := range e.Models {
-			out[i].Models = append(out[i].Models, fleet.Loaded{Model: m.Model, Version: int(m.Version), Adapters: m.Adapters})
+			out[i].Models = append(out[i].Models, fleet.LoadedModel{Model: m.Model, Version: int(m.Version), Adapters: m.Adapters})
 		}
 	}
 	return out
--- a/driver/throttle/throttle_test.go
+++ b/driver/throttle/throttle_test.go
@@ -24,12 +24,12 @@
 
 const leaveWithin = 2 * time.Second
 
-var one = fleet.Incarnation{ID: "i-1", Born: 1000}
+var one = fleet.Incarnation{ID: "i-1", StartUnixMs: 1000}
 
 // daemons are keepers that tell each other facts at once.
 type daemons struct {
 	now     time.Time
-	keepers []*Keeper
+	keepers []*Controller
 	left    [][]fleet.Incarnation // that each was told to leave
 	told    int                   // facts
 	log     *syncbuf.Buffer
@@ -46,9 +46,9 @@
 			Directory: func() (*workspace.Directory, uint64) { return nil, 0 }, Peer: func(string) quotapb.Quotas { return nil }, Clock: clock, Log: log, Metrics: tally.NoopScope,
 		})
 		d.keepers = append(d.keepers, New(Options{
-			Self: self, Book: backpressure.New(backpressure.Options{LeaveWithin: leaveWithin}), Limits: shares.Endpoints(),
-			ReadyAt: func(fleet.Incarnation) time.Time { return d.now }, Listed: func(fleet.Incarnation) bool { return true }, Daemons: func() int { return n },
-			Leaving: func(life fleet.Incarnation) { d.left[i] = append(d.left[i], life) }, Tell: func(f membership.Entry) { d.tell(i, f) },
+			Self: self, Tracker: backpressure.New(backpressure.Options{LeaveWithin: leaveWithin}), Limits: shares.Endpoints(),
+			LastReady: func(fleet.Incarnation) time.Time { return d.now }, Listed: func(fleet.Incarnation) bool { return true }, Daemons: func() int { return n },
+			OnLeaving: func(life fleet.Incarnation) { d.left[i] = append(d.left[i], life) }, Publish: func(f membership.Entry) { d.tell(i, f) },
 			Clock: clock, Log: log, Metrics: tally.NoopScope,
 		}))
 	}
@@ -60,27 +60,27 @@
 	d.told++
 	for i, k := range d.keepers {
 		if i != from && !StaleFact(d.now, f) {
-			k.Fact(f)
+			k.ReceiveFact(f)
 		}
 	}
 }
 
 func says(b protocol.Backpressure) Answer {
-	return Answer{Life: one, Slots: 64, Request: "r1", Says: b, Whole: true}
+	return Answer{Incarnation: one, Slots: 64, Request: "r1", Signals: b, Authoritative: true}
 }
 
 // Guards against daemons that go on sending to an endpoint of which only another one was told that
 // it leaves, and against each of them telling all.
 func TestAllDaemonsKnowThatAnEndpointLeaves(t *testing.T) {
 	d := newDaemons(3)
-	d.keepers[1].Heard(says(protocol.Backpressure{Leaving: true}))
+	d.keepers[1].ObserveAnswer(says(protocol.Backpressure{Leaving: true}))
 	for range 3 {
 		for i, k := range d.keepers {
-			k.Heard(says(protocol.Backpressure{Leaving: true}))
+			k.ObserveAnswer(says(protocol.Backpressure{Leaving: true}))
 			if !slices.Equal(d.left[i], []fleet.Incarnation{one}) {
 				t.Errorf("daemon %d was told %v", i, d.left[i])
 			}
-			if _, got := k.Admit(t.Context(), one, backpressure.Ask{}); got.Open || !got.LastResort {
+			if _, got := k.Admit(t.Context(), one, backpressure.Request{}); got.Open || !got.LastResort {
 				t.Errorf("daemon %d: %+v", i, got)
 			}
 		}
@@ -90,7 +90,7 @@
 	}
 	d.now = d.now.Add(leaveWithin)
 	for i, k := range d.keepers {
-		if _, got := k.Admit(t.Context(), one, backpressure.Ask{}); !got.Closed() {
+		if _, got := k.Admit(t.Context(), one, backpressure.Request{}); !got.Closed() {
 			t.Errorf("daemon %d after the bound: %+v", i, got)
 		}
 	}
@@ -100,16 +100,16 @@
 func TestPauseConcernsOneDaemon(t *testing.T) {
 	d := newDaemons(2)
 	for range 50 {
-		d.keepers[0].Heard(says(protocol.Backpressure{Pause: protocol.Pause{For: 3 * time.Second}}))
+		d.keepers[0].ObserveAnswer(says(protocol.Backpressure{Pause: protocol.Pause{For: 3 * time.Second}}))
 	}
-	if _, got := d.keepers[0].Admit(t.Context(), one, backpressure.Ask{}); !got.Closed() || got.Reason != backpressure.Paused {
+	if _, got := d.keepers[0].Admit(t.Context(), one, backpressure.Request{}); !got.Closed() || got.Reason != backpressure.Paused {
 		t.Errorf("%+v", got)
 	}
-	if _, got := d.keepers[1].Admit(t.Context(), one, backpressure.Ask{}); !got.Open || d.told > 0 {
+	if _, got := d.keepers[1].Admit(t.Context(), one, backpressure.Request{}); !got.Open || d.told > 0 {
 		t.Errorf("another daemon: %+v, %d facts", got, d.told)
 	}
 	d.keepers[0].opt.Log.Close()
-	if n := strings.Count(d.log.String(), decisions.EventEndpointPauses); n != 1 {
+	if n := strings.Count(d.log.String(), decisions.EventEndpointPaused); n != 1 {
 		t.Errorf("%d lines for one pause", n)
 	}
 }
@@ -119,12 +119,12 @@
 	d := newDaemons(1)
 	k := d.keepers[0]
 	for range 9 {
-		k.Heard(says(protocol.Backpressure{Pause: protocol.ReadPause([]string{"soon"}, "", d.now)}))
+		k.ObserveAnswer(says(protocol.Backpressure{Pause: protocol.ReadPause([]string{"soon"}, "", d.now)}))
 	}
 	for _, f := range []membership.Entry{{Key: FactPrefix + "no life", Value: []byte("{}")}, {Key: FactPrefix + one.String(), Value: []byte("x")}, {Key: "other/x"}} {
-		k.Fact(f)
+		k.ReceiveFact(f)
 	}
-	if _, got := k.Admit(t.Context(), one, backpressure.Ask{}); !got.Open {
+	if _, got := k.Admit(t.Context(), one, backpressure.Request{}); !got.Open {
 		t.Errorf("%+v", got)
 	}
 	k.opt.Log.Close()
--- a/e2e/log_test.go
+++ b/e2e/log_test.go
@@ -84,7 +84,7 @@
 	w.platform.Faults.Set(fault.Settings{Fail: true})
 	w.eventually("the loss of the platform is logged", func() bool { return w.says(decisions.EventDependencyLost) })
 	w.platform.Faults.Set(fault.Settings{})
-	w.eventually("its return is logged", func() bool { return w.says(decisions.EventDependencyBack) })
+	w.eventually("its return is logged", func() bool { return w.says(decisions.EventDependencyRegained) })
 	w.daemons[0].stop()
 	<-w.daemons[0].exited
 	for _, p := range w.daemons {
--- a/protocol/call.go
+++ b/protocol/call.go
@@ -15,7 +15,7 @@
 	// PromptTokens and OutputTokens size a generation; zero when unknown. Counted says that
 	// the caller has told both.
 	PromptTokens, OutputTokens int
-	Counted                    bool
+	TokensKnown                bool
 	// Prefix identifies the shared part of the prompt; empty when unknown.
 	Prefix      string
 	LastEventID string // the stream goes on after it
@@ -30,12 +30,12 @@
 	LastEventID string // set when this daemon goes on with a broken stream
 	// Keyed says that requests show keys of workspaces, which no endpoint may see, and
 	// Workspace is the one that this request is counted for; empty: none.
-	Keyed     bool
-	Workspace string
+	KeyRequired bool
+	Workspace   string
 }
 
 // AnswerMark is what an endpoint's headers say of its answer.
-type AnswerMark struct {
+type AnswerMetadata struct {
 	RequestID string // of the request that it belongs to
 	NotRun    bool   // the endpoint says that it has not run the request
 	Sealed    bool   // the answer is the endpoint's own work
@@ -43,7 +43,7 @@
 	// model.
 	WrongEndpoint bool
 	EndpointID    string // that made the answer; empty where it does not say
-	Says          Backpressure
+	Backpressure  Backpressure
 }
 
 // Dialect reads and writes the headers that callers and endpoints use.
@@ -54,10 +54,10 @@
 	// what concerns one connection or is for this system alone to set.
 	Outbound(h http.Header, a Attempt) http.Header
 	// ReadAnswer reads the header of an endpoint's answer.
-	ReadAnswer(status int, h http.Header) AnswerMark
+	ReadAnswer(status int, h http.Header) AnswerMetadata
 	// Unread returns the names of an answer's headers that mean nothing here: they are
 	// neither read nor among those that every HTTP answer may have.
-	Unread(h http.Header) []string
+	UnknownHeaders(h http.Header) []string
 	// Inbound turns an endpoint's headers into those for the caller.
 	Inbound(h http.Header) http.Header
 }
--- a/protocol/credential.go
+++ b/protocol/credential.go
@@ -29,21 +29,21 @@
 }
 
 // Shown says what a request shows of who sends it.
-type Shown int
+type CredentialKind int
 
 // What a request may show.
 const (
-	ShownNothing Shown = iota
-	ShownKey
+	CredentialNone CredentialKind = iota
+	CredentialKey
 	// ShownUnreadable is a header that names no key: another scheme, an empty key, or
 	// several headers, of which nobody could say which one is meant.
-	ShownUnreadable
+	CredentialMalformed
 )
 
 // Credential is what a request shows of who sends it.
 type Credential struct {
-	Shown Shown
-	Key   KeyHash // of ShownKey
+	Kind CredentialKind
+	Key  KeyHash // of ShownKey
 }
 
 // bearer is the one scheme of authentication; schemes are compared regardless of case.
@@ -57,7 +57,7 @@
 	scheme, key, _ := strings.Cut(strings.TrimSpace(headers[0]), " ")
 	key = strings.TrimSpace(key)
 	if len(headers) > 1 || !strings.EqualFold(scheme, bearer) || key == "" {
-		return Credential{Shown: ShownUnreadable}
+		return Credential{Kind: CredentialMalformed}
 	}
-	return Credential{Shown: ShownKey, Key: HashKey(key)}
+	return Credential{Kind: CredentialKey, Key: HashKey(key)}
 }
--- a/protocol/credential_test.go
+++ b/protocol/credential_test.go
@@ -9,22 +9,22 @@
 	for _, c := range []struct {
 		name    string
 		headers []string
-		shown   Shown
+		shown   CredentialKind
 		key     string
 	}{
-		{"nothing", nil, ShownNothing, ""},
-		{"a key", []string{"Bearer k"}, ShownKey, "k"},
-		{"odd case and spaces", []string{" bEaReR \t k "}, ShownKey, "k"},
-		{"a key with a space in it", []string{"Bearer k k"}, ShownKey, "k k"},
-		{"no key", []string{"Bearer"}, ShownUnreadable, ""},
-		{"an empty key", []string{"Bearer  "}, ShownUnreadable, ""},
-		{"an empty header", []string{""}, ShownUnreadable, ""},
-		{"another scheme", []string{"Basic k"}, ShownUnreadable, ""},
-		{"no scheme", []string{"k"}, ShownUnreadable, ""},
-		{"two headers", []string{"Bearer k", "Bearer k"}, ShownUnreadable, ""},
+		{"nothing", nil, CredentialNone, ""},
+		{"a key", []string{"Bearer k"}, CredentialKey, "k"},
+		{"odd case and spaces", []string{" bEaReR \t k "}, CredentialKey, "k"},
+		{"a key with a space in it", []string{"Bearer k k"}, CredentialKey, "k k"},
+		{"no key", []string{"Bearer"}, CredentialMalformed, ""},
+		{"an empty key", []string{"Bearer  "}, CredentialMalformed, ""},
+		{"an empty header", []string{""}, CredentialMalformed, ""},
+		{"another scheme", []string{"Basic k"}, CredentialMalformed, ""},
+		{"no scheme", []string{"k"}, CredentialMalformed, ""},
+		{"two headers", []string{"Bearer k", "Bearer k"}, CredentialMalformed, ""},
 	} {
 		got := ReadCredential(c.headers)
-		if got.Shown != c.shown || got.Shown == ShownKey && got.Key != HashKey(c.key) {
+		if got.Kind != c.shown || got.Kind == CredentialKey && got.Key != HashKey(c.key) {
 			t.Errorf("%s: %+v", c.name, got)
 		}
 	}
@@ -37,7 +37,7 @@
 	f.Add("Basic a b")
 	f.Fuzz(func(t *testing.T, header string) {
 		got := ReadCredential([]string{header})
-		if got.Shown != ShownKey {
+		if got.Kind != CredentialKey {
 			if got.Key != (KeyHash{}) {
 				t.Fatalf("%+v", got)
 			}
--- a/protocol/ratelimit.go
+++ b/protocol/ratelimit.go
@@ -8,8 +8,8 @@
 // RateLimit is what an endpoint says in an answer of the requests a second that it takes from
 // all daemons together.
 type RateLimit struct {
-	Rate  float64
-	Named bool // else the answer names no limit
+	Rate    float64
+	Present bool // else the answer names no limit
 	// Unreadable is the beginning of a value that is no number; it counts as none.
 	Unreadable string
 }
@@ -32,8 +32,8 @@
 			switch {
 			case !ok:
 				r.Unreadable = strconv.Quote(text[:min(len(text), rateBytes)])
-			case !r.Named || rate < r.Rate:
-				r.Rate, r.Named = rate, true
+			case !r.Present || rate < r.Rate:
+				r.Rate, r.Present = rate, true
 			}
 		}
 	}
--- a/protocol/ratelimit_test.go
+++ b/protocol/ratelimit_test.go
@@ -39,7 +39,7 @@
 		{[]string{strings.Repeat("1", 1000)}, 0, false, true},
 	} {
 		r := ReadRateLimit(c.values)
-		if r.Rate != c.rate || r.Named != c.named || (r.Unreadable != "") != c.unreadable {
+		if r.Rate != c.rate || r.Present != c.named || (r.Unreadable != "") != c.unreadable {
 			t.Errorf("%q: %+v", c.values, r)
 		}
 	}
--- a/protocol/verdict.go
+++ b/protocol/verdict.go
@@ -162,6 +162,6 @@
 }
 
 // Unsure builds a refusal whose verdict is MayHaveRun.
-func Unsure(status int, reason, detail string) *Refusal {
+func RefuseMayHaveRun(status int, reason, detail string) *Refusal {
 	return &Refusal{Status: status, Reason: reason, Detail: detail, Verdict: MayHaveRun}
 }
--- a/replay/replay.go
+++ b/replay/replay.go
@@ -217,7 +217,7 @@
 			slots += e.conf.Slots
 		}
 	}
-	return admission.Estimate{Ready: w.Time, Service: r.opt.Service1, Slots: float64(slots), Refuse: w.Reason, After: w.After}
+	return admission.Estimate{Ready: w.Time, Service: r.opt.Service1, Slots: float64(slots), RefuseReason: w.Reason, RetryAfter: w.RetryAfter}
 }
 
 func (r *run) refuse(list []admission.Refused) {
@@ -285,7 +285,7 @@
 		s.Units = append(s.Units, u.EngineUnit)
 	}
 	slices.SortFunc(s.Units, func(a, b protocol.EngineUnit) int { return int(a.Seq) - int(b.Seq) })
-	r.m.Step(r.now, placement.Observed{State: s, Fence: r.m.ClaimedFence(e.conf.Name), Asked: r.now})
+	r.m.Step(r.now, placement.Observed{State: s, Fence: r.m.ClaimedFence(e.conf.Name), RequestedAt: r.now})
 }
 
 // decide gives the machine the demand and carries out what it asks for.
--- a/replay/replay_test.go
+++ b/replay/replay_test.go
@@ -51,7 +51,7 @@
 		learned := replayDay(b, c.service, arrivals, keepalive.New(keepalive.Options{
 			ColdStartWeight: c.weight, IdleWeight: 1, MinIdle: b.Policy.MinIdle.D(), MaxIdle: b.Policy.MaxIdle.D(),
 		}), placement.EvictCheapest)
-		fixed := replayDay(b, c.service, arrivals, Fixed(c.fixed), placement.EvictOldest)
+		fixed := replayDay(b, c.service, arrivals, Fixed(c.fixed), placement.EvictLeastRecentlyUsed)
 		t.Logf("%s: learned %d cold, p99 %s, %.1f idle hours; fixed %s: %d cold, p99 %s, %.1f idle hours", c.file,
 			len(learned.Cold), Quantile(learned.Cold, 0.99), learned.IdleHours, c.fixed, len(fixed.Cold), Quantile(fixed.Cold, 0.99), fixed.IdleHours)
 		if len(learned.Cold) > c.maxCold || Quantile(learned.Cold, 0.99) > c.maxTail || learned.IdleHours > c.maxIdle {
--- a/settings/edge.go
+++ b/settings/edge.go
@@ -134,39 +134,39 @@
 }
 
 func (c checker) checkEdge(s Edge) {
-	c.Want(s.Host != "", "host", "the name of this host")
-	c.Want(s.FailureDomain != "", "failure_domain", "the failure domain of this host")
-	c.Want(hclog.LevelFromString(s.LogLevel) != hclog.NoLevel, "log_level", "trace, debug, info, warn or error, found %q", s.LogLevel)
+	c.Require(s.Host != "", "host", "the name of this host")
+	c.Require(s.FailureDomain != "", "failure_domain", "the failure domain of this host")
+	c.Require(hclog.LevelFromString(s.LogLevel) != hclog.NoLevel, "log_level", "trace, debug, info, warn or error, found %q", s.LogLevel)
 	for _, l := range []struct{ path, address string }{
 		{"listen.callers", s.Listen.Callers}, {"listen.directory", s.Listen.Directory}, {"listen.readiness", s.Listen.Readiness},
 		{"listen.peers", s.Listen.Peers}, {"store.address", s.Store.Address},
 	} {
 		_, err := netip.ParseAddrPort(l.address)
-		c.Want(err == nil, l.path, "an IP number and a port, found %q", l.address)
+		c.Require(err == nil, l.path, "an IP number and a port, found %q", l.address)
 	}
 	if s.Listen.Metrics != "" {
 		_, err := netip.ParseAddrPort(s.Listen.Metrics)
-		c.Want(err == nil, "listen.metrics", "an IP number and a port, or nothing, found %q", s.Listen.Metrics)
+		c.Require(err == nil, "listen.metrics", "an IP number and a port, or nothing, found %q", s.Listen.Metrics)
 	}
 	for i, seed := range s.Peers.Seeds {
 		_, err := netip.ParseAddrPort(seed)
-		c.Want(err == nil, fmt.Sprintf("peers.seeds[%d]", i), "an IP number and a port, found %q", seed)
+		c.Require(err == nil, fmt.Sprintf("peers.seeds[%d]", i), "an IP number and a port, found %q", seed)
 	}
-	c.Want(s.Store.Timeout.D() > 0, "store.timeout", "a duration above 0")
-	c.Want(s.Limits.MemoryMB > 0, "limits.memory_mb", "a number above 0")
-	c.Want(s.Limits.Descriptors > 0, "limits.descriptors", "a number above 0")
-	c.Want(s.Limits.CPUShare >= 0, "limits.cpu_share", "a number, 0 or above")
-	c.Want(s.Limits.Cores >= 0, "limits.cores", "a number, 0 or above")
-	c.Want(s.Timing.AddressTTL.D() > 0, "timing.address_ttl", "a duration above 0")
-	c.Want(s.Timing.Grace.D() > 0, "timing.grace", "a duration above 0")
-	c.Want(s.Timing.OrderGap.D() > 0, "timing.order_gap", "a duration above 0")
-	c.Want(s.Timing.LeaveWithin.D() > 0, "timing.leave_within", "a duration above 0")
-	c.Want(s.Timing.ApplyWithin.D() > 0, "timing.apply_within", "a duration above 0")
-	c.Want(s.Timing.RevokeWithin.D() == 0 || s.Timing.RevokeWithin.D() > s.Timing.ApplyWithin.D(), "timing.revoke_within", "0, or a duration above apply_within")
-	c.Want(s.Quotas.Window.D() >= 0 && s.Quotas.Overage >= 0 && s.Quotas.Slack >= 0, "quotas", "a window and numbers of at least 0")
-	c.Want(s.Timing.EndpointHeartbeat.D() > 0, "timing.endpoint_heartbeat", "a duration above 0")
-	c.Want(s.Timing.Pass.D() > 0, "timing.pass", "a duration above 0")
-	c.Want(s.Retries.Ratio >= 0 && s.Retries.Extra >= 0, "retries", "numbers of at least 0")
-	c.Want(s.Loads.AtOnce > 0, "loads.at_once", "a number above 0")
-	c.Want(s.Loads.Window.D() > 0 && s.Loads.Factor > 0, "loads", "a window and a factor above 0")
+	c.Require(s.Store.Timeout.D() > 0, "store.timeout", "a duration above 0")
+	c.Require(s.Limits.MemoryMB > 0, "limits.memory_mb", "a number above 0")
+	c.Require(s.Limits.Descriptors > 0, "limits.descriptors", "a number above 0")
+	c.Require(s.Limits.CPUShare >= 0, "limits.cpu_share", "a number, 0 or above")
+	c.Require(s.Limits.Cores >= 0, "limits.cores", "a number, 0 or above")
+	c.Require(s.Timing.AddressTTL.D() > 0, "timing.address_ttl", "a duration above 0")
+	c.Require(s.Timing.Grace.D() > 0, "timing.grace", "a duration above 0")
+	c.Require(s.Timing.OrderGap.D() > 0, "timing.order_gap", "a duration above 0")
+	c.Require(s.Timing.LeaveWithin.D() > 0, "timing.leave_within", "a duration above 0")
+	c.Require(s.Timing.ApplyWithin.D() > 0, "timing.apply_within", "a duration above 0")
+	c.Require(s.Timing.RevokeWithin.D() == 0 || s.Timing.RevokeWithin.D() > s.Timing.ApplyWithin.D(), "timing.revoke_within", "0, or a duration above apply_within")
+	c.Require(s.Quotas.Window.D() >= 0 && s.Quotas.Overage >= 0 && s.Quotas.Slack >= 0, "quotas", "a window and numbers of at least 0")
+	c.Require(s.Timing.EndpointHeartbeat.D() > 0, "timing.endpoint_heartbeat", "a duration above 0")
+	c.Require(s.Timing.Pass.D() > 0, "timing.pass", "a duration above 0")
+	c.Require(s.Retries.Ratio >= 0 && s.Retries.Extra >= 0, "retries", "numbers of at least 0")
+	c.Require(s.Loads.AtOnce > 0, "loads.at_once", "a number above 0")
+	c.Require(s.Loads.Window.D() > 0 && s.Loads.Factor > 0, "loads", "a window and a factor above 0")
 }
