--- a/settings/settings.go
+++ b/settings/settings.go
@@ -128,33 +128,33 @@
 )
 
 func (c checker) check(s Settings) {
-	c.Want(s.Host != "", "host", "the name of this host")
-	c.Want(s.FailureDomain != "", "failure_domain", "the failure domain of this host")
-	c.Want(hclog.LevelFromString(s.LogLevel) != hclog.NoLevel, "log_level", "trace, debug, info, warn or error, found %q", s.LogLevel)
-	c.Want(s.LeaseTerm.D() >= minLeaseTerm && s.LeaseTerm.D() <= maxLeaseTerm, "lease_term", "a duration from %s to %s", minLeaseTerm, maxLeaseTerm)
+	c.Require(s.Host != "", "host", "the name of this host")
+	c.Require(s.FailureDomain != "", "failure_domain", "the failure domain of this host")
+	c.Require(hclog.LevelFromString(s.LogLevel) != hclog.NoLevel, "log_level", "trace, debug, info, warn or error, found %q", s.LogLevel)
+	c.Require(s.LeaseTerm.D() >= minLeaseTerm && s.LeaseTerm.D() <= maxLeaseTerm, "lease_term", "a duration from %s to %s", minLeaseTerm, maxLeaseTerm)
 	c.listeners(s)
-	c.Want(s.Peers.Token == "" || len(s.Peers.Token) >= minPeerToken, "peers.token", "a secret of at least %d characters, or none", minPeerToken)
+	c.Require(s.Peers.Token == "" || len(s.Peers.Token) >= minPeerToken, "peers.token", "a secret of at least %d characters, or none", minPeerToken)
 	for i, seed := range s.Peers.Seeds {
 		_, err := netip.ParseAddrPort(seed)
-		c.Want(err == nil, fmt.Sprintf("peers.seeds[%d]", i), "an IP number and a port, found %q", seed)
+		c.Require(err == nil, fmt.Sprintf("peers.seeds[%d]", i), "an IP number and a port, found %q", seed)
 	}
 	u, err := url.Parse(s.Platform.URL)
-	c.Want(err == nil && (u.Scheme == "http" || u.Scheme == "https") && ipHost(u), "platform.url", "an http or https URL with an IP number, found %q", s.Platform.URL)
-	c.Want(s.Platform.Timeout.D() > 0 && s.Platform.Timeout.D() < s.LeaseTerm.D(), "platform.timeout", "a duration above 0 and below lease_term")
-	c.Want(s.Limits.BodyBytes > 0, "limits.body_bytes", "a number above 0")
-	c.Want(s.Limits.HeaderBytes > 0, "limits.header_bytes", "a number above 0")
-	c.Want(s.Limits.AnswerBytes > 0, "limits.answer_bytes", "a number above 0")
-	c.Want(s.Limits.QueueLength > 0, "limits.queue_length", "a number above 0")
-	c.Want(s.Limits.Connections > 0, "limits.connections", "a number above 0")
+	c.Require(err == nil && (u.Scheme == "http" || u.Scheme == "https") && ipHost(u), "platform.url", "an http or https URL with an IP number, found %q", s.Platform.URL)
+	c.Require(s.Platform.Timeout.D() > 0 && s.Platform.Timeout.D() < s.LeaseTerm.D(), "platform.timeout", "a duration above 0 and below lease_term")
+	c.Require(s.Limits.BodyBytes > 0, "limits.body_bytes", "a number above 0")
+	c.Require(s.Limits.HeaderBytes > 0, "limits.header_bytes", "a number above 0")
+	c.Require(s.Limits.AnswerBytes > 0, "limits.answer_bytes", "a number above 0")
+	c.Require(s.Limits.QueueLength > 0, "limits.queue_length", "a number above 0")
+	c.Require(s.Limits.Connections > 0, "limits.connections", "a number above 0")
 	names := map[string]bool{}
 	for i, t := range s.Operators.Tokens {
 		at := fmt.Sprintf("operators.tokens[%d]", i)
-		c.Want(t.Name != "" && !names[t.Name], at+".name", "a name of its own")
-		c.Want(len(t.TokenSHA256) == 64, at+".token_sha256", "the SHA-256 of the token in hex")
+		c.Require(t.Name != "" && !names[t.Name], at+".name", "a name of its own")
+		c.Require(len(t.TokenSHA256) == 64, at+".token_sha256", "the SHA-256 of the token in hex")
 		names[t.Name] = true
 	}
 	if t := s.Operators.TLS; t != nil {
-		c.Want(t.Cert != "" && t.Key != "", "operators.tls", "both cert and key")
+		c.Require(t.Cert != "" && t.Key != "", "operators.tls", "both cert and key")
 	}
 }
 
@@ -164,13 +164,13 @@
 		{"callers.listen", s.Callers.Listen}, {"peers.listen", s.Peers.Listen}, {"operators.listen", s.Operators.Listen},
 	} {
 		addr, err := netip.ParseAddrPort(l.address)
-		c.Want(err == nil, l.path, "an IP number and a port, found %q", l.address)
+		c.Require(err == nil, l.path, "an IP number and a port, found %q", l.address)
 		if err != nil || addr.Port() == 0 {
 			continue
 		}
 		for other, path := range seen {
 			overlap := other.Port() == addr.Port() && (other.Addr() == addr.Addr() || other.Addr().IsUnspecified() || addr.Addr().IsUnspecified())
-			c.Want(!overlap, l.path, "an address of its own; %s overlaps", path)
+			c.Require(!overlap, l.path, "an address of its own; %s overlaps", path)
 		}
 		seen[addr] = l.path
 	}
--- a/standin/record/record.go
+++ b/standin/record/record.go
@@ -76,12 +76,12 @@
 	defer s.mu.Unlock()
 	s.calls++
 	if expected.Revision != s.version.Revision {
-		return s.version.At(0), protocol.WriteConflict, nil
+		return s.version.WithRevision(0), protocol.WriteConflict, nil
 	}
 	raw, err := json.Marshal(v)
 	if err != nil {
-		return s.version.At(0), protocol.WriteUnknown, err
+		return s.version.WithRevision(0), protocol.WriteUnknown, err
 	}
-	s.raw, s.version = raw, s.version.At(s.version.Revision+1)
+	s.raw, s.version = raw, s.version.WithRevision(s.version.Revision+1)
 	return s.version, protocol.WriteOK, nil
 }
--- a/state/bundle/parse.go
+++ b/state/bundle/parse.go
@@ -118,7 +118,7 @@
 }
 
 // Of returns the line of path, or of its nearest parent that is present.
-func (l *Lines) Of(path string) int {
+func (l *Lines) LineOf(path string) int {
 	l.build()
 	for path != "" {
 		if line, ok := l.byPath[path]; ok {
--- a/state/fleet/fleet.go
+++ b/state/fleet/fleet.go
@@ -10,7 +10,7 @@
 )
 
 // Loaded is one model that an endpoint holds.
-type Loaded struct {
+type LoadedModel struct {
 	Model    string
 	Version  int
 	Adapters []string
@@ -18,12 +18,12 @@
 
 // Endpoint is one process of a service, from one start to its end.
 type Endpoint struct {
-	ID      string // may be used again by the next start
-	Born    int64  // see Incarnation
-	Service string
-	Address string
-	Domain  string // failure domain
-	Slots   int
+	ID            string // may be used again by the next start
+	StartUnixMs   int64  // see Incarnation
+	Service       string
+	Address       string
+	FailureDomain string // failure domain
+	Slots         int
 	// Software names the version of the endpoint's program, empty where it tells none.
 	Software string
 	// Leaving endpoints get no new requests.
@@ -34,7 +34,7 @@
 	// Remaining is the time left until a leaving endpoint is gone, as it was
 	// announced; zero when unknown.
 	Remaining time.Duration
-	Models    []Loaded
+	Models    []LoadedModel
 	InMemory  []string // models with a copy in host memory
 	OnDisk    []string // models with a copy on the endpoint's disk
 	// Version is that of this description in the platform's store.
@@ -42,7 +42,9 @@
 }
 
 // Life returns the incarnation that the description is of.
-func (e *Endpoint) Life() Incarnation { return Incarnation{ID: e.ID, Born: e.Born} }
+func (e *Endpoint) Incarnation() Incarnation {
+	return Incarnation{ID: e.ID, StartUnixMs: e.StartUnixMs}
+}
 
 // Has reports whether the endpoint holds the model and, unless empty, the
 // adapter.
@@ -64,8 +66,8 @@
 
 // Of returns the endpoint of an incarnation, nil if the view has none of its id or
 // of another life.
-func (v *View) Of(i Incarnation) *Endpoint {
-	if e := v.ByID[i.ID]; e != nil && e.Life().Same(i) {
+func (v *View) Find(i Incarnation) *Endpoint {
+	if e := v.ByID[i.ID]; e != nil && e.Incarnation().Matches(i) {
 		return e
 	}
 	return nil
--- a/state/routing/table.go
+++ b/state/routing/table.go
@@ -48,14 +48,14 @@
 	Timeout time.Duration
 	// Target is the latency objective: to the first event of a stream, to the
 	// whole answer otherwise.
-	Target time.Duration
+	LatencyTarget time.Duration
 	// Patience is how long a caller waits for the first event of a stream
 	// before it leaves.
-	Patience time.Duration
+	MaxWait time.Duration
 	// GapTarget is the longest pause between two events of a stream.
-	GapTarget time.Duration
-	Rank      int // 0 is served first
-	Attempts  int // endpoints that one request may run at, at most
+	GapTarget   time.Duration
+	Rank        int // 0 is served first
+	MaxAttempts int // endpoints that one request may run at, at most
 	// Public routes take requests without a key.
 	Public    bool
 	Sticky    bool
@@ -100,7 +100,7 @@
 	// Adapter size in MB; it shares the engine's memory with the weights.
 	AdapterMB float64
 	// Load times by the place of the nearest copy.
-	FromStore, FromDisk, FromMemory time.Duration
+	LoadFromStore, LoadFromDisk, LoadFromMemory time.Duration
 }
 
 // Engine describes the engines of a service.
@@ -121,7 +121,7 @@
 	Engine          *Engine // nil for a plain service
 	// LeastUrgent is the rank of the least urgent of its routes: its endpoints admit all
 	// others before them.
-	LeastUrgent int
+	LeastUrgentRank int
 }
 
 // Limits bound what a caller may send.
@@ -155,7 +155,7 @@
 		t.byHost[r.Host] = append(t.byHost[r.Host], r)
 		for _, share := range r.Shares {
 			if s := t.Services[share.Service]; s != nil {
-				s.LeastUrgent = max(s.LeastUrgent, leastUrgent)
+				s.LeastUrgentRank = max(s.LeastUrgentRank, leastUrgent)
 			}
 		}
 	}
@@ -174,9 +174,9 @@
 
 // urgencyOf returns what a directory's workspaces say.
 func urgencyOf(d *workspace.Directory) urgency {
-	u := urgency{keyed: d.Keyed()}
+	u := urgency{keyed: d.RequiresKey()}
 	for _, w := range d.List() {
-		if w.Ranked {
+		if w.HasRank {
 			u.ranked = max(u.ranked, w.Rank)
 		} else {
 			u.own = true
@@ -198,7 +198,7 @@
 
 // RankOf returns the rank of a workspace's requests on a route; nil: of nobody's.
 func (r *Route) RankOf(w *workspace.Workspace) int {
-	if w != nil && w.Ranked {
+	if w != nil && w.HasRank {
 		return w.Rank
 	}
 	return r.Rank
@@ -219,7 +219,7 @@
 }
 
 // Routes returns the number of routes.
-func (t *Table) Routes() int {
+func (t *Table) RouteCount() int {
 	n := 0
 	for _, list := range t.byHost {
 		n += len(list)
--- a/state/routing/table_test.go
+++ b/state/routing/table_test.go
@@ -11,8 +11,8 @@
 		{Name: "c", Rank: 3, Shares: []Share{{Service: "not declared", Weight: 1}}},
 	}, nil)
 	for _, s := range services {
-		if want := map[string]int{"llm": 1, "app": 1, "unused": 0}[s.Name]; s.LeastUrgent != want {
-			t.Errorf("%s: %d, want %d", s.Name, s.LeastUrgent, want)
+		if want := map[string]int{"llm": 1, "app": 1, "unused": 0}[s.Name]; s.LeastUrgentRank != want {
+			t.Errorf("%s: %d, want %d", s.Name, s.LeastUrgentRank, want)
 		}
 	}
 }
--- a/state/snapshot/snapshot.go
+++ b/state/snapshot/snapshot.go
@@ -39,7 +39,7 @@
 	for i := range b.Callers {
 		s.callers[b.Callers[i].TokenSHA256] = &b.Callers[i]
 	}
-	declared := make([]workspace.Declared, len(b.Workspaces))
+	declared := make([]workspace.Declaration, len(b.Workspaces))
 	for i := range b.Workspaces {
 		declared[i] = declare(&b.Workspaces[i])
 		s.classes[b.Workspaces[i].Name] = b.Workspaces[i].Class
@@ -48,8 +48,8 @@
 	return s
 }
 
-func declare(w *bundle.Workspace) workspace.Declared {
-	d := workspace.Declared{Workspace: workspace.Workspace{Name: w.Name}}
+func declare(w *bundle.Workspace) workspace.Declaration {
+	d := workspace.Declaration{Workspace: workspace.Workspace{Name: w.Name}}
 	if w.Quota != nil {
 		d.Quota = workspace.Quota{Unit: workspace.Requests, Rate: w.Quota.RequestsPerSecond, Burst: w.Quota.Burst}
 	}
@@ -70,7 +70,7 @@
 }
 
 // Of returns the identity of callers that show a key of a workspace.
-func (s *Snapshot) Of(w *workspace.Workspace) Identity {
+func (s *Snapshot) IdentityOf(w *workspace.Workspace) Identity {
 	return Identity{Caller: w.Name, Class: s.Bundle.Class(s.classes[w.Name]), Workspace: w}
 }
 
--- a/state/storeversion/storeversion.go
+++ b/state/storeversion/storeversion.go
@@ -32,7 +32,7 @@
 func (v Version) Absent() bool { return v.Revision == 0 }
 
 // At returns another revision of the same generation.
-func (v Version) At(revision uint64) Version { return Version{v.Generation, revision} }
+func (v Version) WithRevision(revision uint64) Version { return Version{v.Generation, revision} }
 
 // revisionBits is the part of Number that holds the revision.
 const revisionBits = 44
--- a/state/workspace/workspace.go
+++ b/state/workspace/workspace.go
@@ -15,10 +15,10 @@
 
 // Quota bounds what a workspace may send, over all daemons together.
 type Quota struct {
-	Unit  Unit
-	Rate  float64 // units a second; 0: no bound
-	Burst float64 // units that may come at once after a pause
-	Plain float64 // tokens that a request without a count stands for
+	Unit          Unit
+	Rate          float64 // units a second; 0: no bound
+	Burst         float64 // units that may come at once after a pause
+	DefaultTokens float64 // tokens that a request without a count stands for
 }
 
 // Bounded reports whether there is a bound at all.
@@ -33,20 +33,20 @@
 	case counted:
 		return float64(tokens)
 	}
-	return a.Plain
+	return a.DefaultTokens
 }
 
 // Workspace is one group of callers.
 type Workspace struct {
 	Name string
 	// Rank goes before the rank of a route, if Ranked; 0 is served first.
-	Rank   int
-	Ranked bool
-	Quota  Quota
+	Rank    int
+	HasRank bool
+	Quota   Quota
 }
 
 // Declared is a workspace with the keys that stand for it.
-type Declared struct {
+type Declaration struct {
 	Workspace
 	Keys []protocol.KeyHash
 }
@@ -61,7 +61,7 @@
 }
 
 // NewDirectory indexes workspaces. A key that several declare stands for the first of them.
-func NewDirectory(list []Declared) *Directory {
+func NewDirectory(list []Declaration) *Directory {
 	d := &Directory{byKey: map[protocol.KeyHash]*Workspace{}, byName: map[string]*Workspace{}}
 	for i := range list {
 		w := &list[i].Workspace
@@ -79,10 +79,10 @@
 }
 
 // Keyed reports whether requests need a key.
-func (d *Directory) Keyed() bool { return d != nil && len(d.list) > 0 }
+func (d *Directory) RequiresKey() bool { return d != nil && len(d.list) > 0 }
 
 // Find returns the workspace that a key stands for, nil if there is none.
-func (d *Directory) Find(key protocol.KeyHash) *Workspace {
+func (d *Directory) ByKey(key protocol.KeyHash) *Workspace {
 	if d == nil {
 		return nil
 	}
@@ -90,7 +90,7 @@
 }
 
 // Named returns a workspace, nil if there is none of this name.
-func (d *Directory) Named(name string) *Workspace {
+func (d *Directory) ByName(name string) *Workspace {
 	if d == nil {
 		return nil
 	}
@@ -106,7 +106,7 @@
 }
 
 // Shared returns how many keys stand in several workspaces.
-func (d *Directory) Shared() int {
+func (d *Directory) SharedKeys() int {
 	if d == nil {
 		return 0
 	}
--- a/transport/callers/call.go
+++ b/transport/callers/call.go
@@ -47,7 +47,7 @@
 	key     *claims.Key
 	gate    *gate.Gate
 	print   protocol.Fingerprint
-	trial   quarantiner.Trial // that this attempt is
+	trial   quarantiner.Probe // that this attempt is
 	ticket  quotas.Ticket     // that it was let through with
 	pass    quotas.Ticket     // for the endpoint of this attempt, if that names a limit
 	version string            // of the model; empty for services
@@ -134,7 +134,7 @@
 	}
 	body, err := bodies.Read(r, s.opt.Limits.BodyBytes)
 	if err != nil {
-		s.opt.Quotas.Return(ticket)
+		s.opt.Quotas.Refund(ticket)
 	}
 	switch {
 	case errors.Is(err, bodies.ErrTooLarge):
@@ -164,10 +164,10 @@
 	if ident, ok := conf.Identify(first); ok && len(authorization) <= 1 {
 		return ident, nil
 	}
-	a := access.Bounds{}.Decide(access.Question{Directory: conf.Workspaces, Shown: protocol.ReadCredential(authorization)})
+	a := access.Bounds{}.Decide(access.Request{Directory: conf.Workspaces, Credential: protocol.ReadCredential(authorization)})
 	switch {
 	case a.Workspace != nil:
-		return conf.Of(a.Workspace), nil
+		return conf.IdentityOf(a.Workspace), nil
 	case a.Outcome == access.Denied:
 		return snapshot.Identity{}, protocol.Refuse(http.StatusUnauthorized, a.Reason, "no caller or workspace has the key of this request", 0)
 	}
@@ -262,7 +262,7 @@
 // acquire takes a slot at an endpoint for a call that may be sent. One that is held back is
 // refused before it waits, and once more at the last moment.
 func (s *Server) acquire(ctx context.Context, cl *call) (*gate.Slot, *protocol.Refusal) {
-	if refusal := s.opt.Quarantine.Waits(cl.fingerprint, cl.software); refusal != nil {
+	if refusal := s.opt.Quarantine.CheckHeld(cl.fingerprint, cl.software); refusal != nil {
 		return nil, refusal
 	}
 	slot, refusal := s.acquireOpen(ctx, cl)
@@ -270,7 +270,7 @@
 		return nil, refusal
 	}
 	if cl.trial, refusal = s.opt.Quarantine.Admit(ctx, cl.fingerprint, cl.software); refusal != nil {
-		s.opt.Throttle.Return(cl.pass)
+		s.opt.Throttle.Refund(cl.pass)
 		cl.gate.Release(slot, 0)
 		return nil, refusal
 	}
@@ -286,15 +286,15 @@
 func (s *Server) tellQuarantine(ctx context.Context, cl *call, e bundle.Endpoint, sent time.Time, began bool, f *proxy.Failure) {
 	life := lifeOf(e)
 	if f != nil && f.Verdict == protocol.NotRun {
-		s.opt.Quarantine.GiveBack(cl.trial)
+		s.opt.Quarantine.ReturnProbe(cl.trial)
 	}
 	switch {
 	case f == nil:
-		s.opt.Quarantine.Served(cl.fingerprint, sent)
+		s.opt.Quarantine.ObserveSuccess(cl.fingerprint, sent)
 	case f.Reason == proxy.ReasonUnreachable:
-		s.opt.Quarantine.Refused(life, f.Err)
+		s.opt.Quarantine.ObserveDialError(life, f.Err)
 	case f.Broken && ctx.Err() == nil:
-		s.opt.Quarantine.Broke(ctx, quarantiner.Attempt{Request: cl.id, Fingerprint: cl.print, Life: life, Address: e.Address, Sent: sent, Began: began, Software: cl.software()})
+		s.opt.Quarantine.ObserveBroken(ctx, quarantiner.BrokenAttempt{Request: cl.id, Fingerprint: cl.print, Incarnation: life, Address: e.Address, Sent: sent, AnswerBegan: began, Software: cl.software()})
 	}
 }
 
@@ -317,7 +317,7 @@
 		whole, f = s.opt.Proxy.Whole(ctx, slot.Endpoint.Address, req)
 	}
 	if f != nil && f.Reason == proxy.ReasonUnreachable {
-		s.opt.Throttle.Return(cl.pass)
+		s.opt.Throttle.Refund(cl.pass)
 	}
 	took := time.Since(start)
 	s.tellQuarantine(ctx, cl, slot.Endpoint, sent, out.progress.Offset > heard, f)
@@ -344,7 +344,7 @@
 		return
 	}
 	cl.gate.Avoid(slot, avoid)
-	s.opt.Log.Info(decisions.EventAvoided, "request", cl.id, "endpoint", slot.Endpoint.Name, "reason", f.Reason, "for_ms", avoid.Milliseconds())
+	s.opt.Log.Info(decisions.EventEndpointAvoided, "request", cl.id, "endpoint", slot.Endpoint.Name, "reason", f.Reason, "for_ms", avoid.Milliseconds())
 }
 
 // mayRetry allows a retry of what has not run, of a stream that can go on, and
@@ -371,7 +371,7 @@
 		s.unclaim(cl, true)
 		return protocol.Refuse(http.StatusServiceUnavailable, "deadline-passed", "the key was claimed too late", retryAfterStart)
 	case claims.Duplicate:
-		return protocol.Unsure(http.StatusConflict, "duplicate-key", "a request with this key was accepted before")
+		return protocol.RefuseMayHaveRun(http.StatusConflict, "duplicate-key", "a request with this key was accepted before")
 	default:
 		// Nothing is dispatched under this claim, so "not run" is true even
 		// if the claim was written; it is released in the background.
--- a/transport/callers/log.go
+++ b/transport/callers/log.go
@@ -25,7 +25,7 @@
 		}
 	}
 	if refusal == nil {
-		s.opt.Log.Routine(decisions.EventAnswered, append(fields, "status", c.Response().Status)...)
+		s.opt.Log.InfoSampled(decisions.EventAnswered, append(fields, "status", c.Response().Status)...)
 		return
 	}
 	event := decisions.EventRefused
--- a/transport/callers/server.go
+++ b/transport/callers/server.go
@@ -45,11 +45,11 @@
 	Claimer Claimer
 	Proxy   *proxy.Client
 	// Quarantine holds requests back under which endpoints end.
-	Quarantine *quarantiner.Keeper
+	Quarantine *quarantiner.Controller
 	// Quotas counts requests for their workspaces.
-	Quotas *quotas.Keeper
+	Quotas *quotas.Controller
 	// Throttle keeps to what endpoints say of themselves.
-	Throttle *throttle.Keeper
+	Throttle *throttle.Controller
 	Log      *decisions.Log
 	Metrics  tally.Scope
 	// EndpointLeaving is told of an endpoint that says it takes no new work.
@@ -124,7 +124,7 @@
 		case refusal.Verdict == protocol.NotRun:
 			s.metrics.refusedNotRun.Inc(1)
 			if cl, ok := c.Get(callKey).(*call); ok {
-				s.opt.Quotas.Return(cl.ticket)
+				s.opt.Quotas.Refund(cl.ticket)
 			}
 		default:
 			s.metrics.refusedUnsure.Inc(1)
--- a/transport/callers/shut.go
+++ b/transport/callers/shut.go
@@ -21,9 +21,9 @@
 // of the endpoint's limit is in cl.pass.
 func (s *Server) acquireOpen(ctx context.Context, cl *call) (*gate.Slot, *protocol.Refusal) {
 	cl.pass = quotas.Ticket{}
-	s.opt.Throttle.Settle(ctx)
+	s.opt.Throttle.WaitSynced(ctx)
 	for range placesTried {
-		if shut := cl.gate.Shut(); len(shut) > 0 {
+		if shut := cl.gate.Unavailable(); len(shut) > 0 {
 			return nil, s.refuseShut(cl, shut)
 		}
 		slot, refusal := cl.gate.Acquire(ctx, gate.Request{Worth: cl.worth, Deadline: cl.deadline, Affinity: cl.affinity})
@@ -41,7 +41,7 @@
 }
 
 // ask is the call's place among those that come back.
-func (cl *call) ask() backpressure.Ask { return backpressure.Ask{Deadline: cl.deadline} }
+func (cl *call) ask() backpressure.Request { return backpressure.Request{Deadline: cl.deadline} }
 
 // refuseShut refuses a call whose endpoints take no requests now, and tells its caller when the
 // first of them takes it.
@@ -49,13 +49,13 @@
 	var first bundle.Endpoint
 	turn := time.Duration(0)
 	for i, e := range shut {
-		if in := s.opt.Throttle.Turn(lifeOf(e), cl.ask(), float64(e.Slots)); i == 0 || in < turn {
+		if in := s.opt.Throttle.EstimateWait(lifeOf(e), cl.ask(), float64(e.Slots)); i == 0 || in < turn {
 			first, turn = e, in
 		}
 	}
-	cl.gate.RefusedShut(cl.worth)
-	reason := s.opt.Throttle.Look(lifeOf(first), cl.ask()).Reason
-	s.opt.Throttle.Promise(lifeOf(first), cl.ask(), turn)
+	cl.gate.CountUnavailable(cl.worth)
+	reason := s.opt.Throttle.Peek(lifeOf(first), cl.ask()).Reason
+	s.opt.Throttle.ReserveRetry(lifeOf(first), cl.ask(), turn)
 	detail := fmt.Sprintf("%s: %d endpoints take no more requests now, by their own word: %q the first, in %d ms", cl.unit, len(shut), first.Name, turn.Milliseconds())
 	return protocol.Refuse(http.StatusServiceUnavailable, string(reason), detail, max(turn, protocol.MinRetryAfter))
 }
@@ -68,5 +68,5 @@
 		says.Leaving = false
 		s.opt.EndpointLeaving(e.Name)
 	}
-	s.opt.Throttle.Heard(throttle.Answer{Life: lifeOf(e), Slots: e.Slots, Request: cl.id, Sent: sent, Says: says, Whole: whole})
+	s.opt.Throttle.ObserveAnswer(throttle.Answer{Incarnation: lifeOf(e), Slots: e.Slots, Request: cl.id, Sent: sent, Signals: says, Authoritative: whole})
 }
--- a/transport/edge/arrive.go
+++ b/transport/edge/arrive.go
@@ -70,7 +70,7 @@
 
 // identify finds out whose request it is, and whether its key may be taken.
 func (s *Server) identify(_ context.Context, q *request) *protocol.Refusal {
-	a := s.opt.Access.Decide(access.Question{Directory: q.table.Workspaces, Public: q.route.Public, Shown: q.call.Credential, Age: q.stateAge})
+	a := s.opt.Access.Decide(access.Request{Directory: q.table.Workspaces, Public: q.route.Public, Credential: q.call.Credential, Age: q.stateAge})
 	q.who = a.Workspace
 	q.rank = q.route.RankOf(q.who)
 	switch a.Outcome {
@@ -107,7 +107,7 @@
 	if q.who == nil {
 		return nil
 	}
-	cost := q.who.Quota.Cost(q.call.PromptTokens+q.call.OutputTokens, q.call.Counted)
+	cost := q.who.Quota.Cost(q.call.PromptTokens+q.call.OutputTokens, q.call.TokensKnown)
 	var refusal *protocol.Refusal
 	q.ticket, refusal = s.opt.Quotas.Admit(ctx, q.who, cost, q.late())
 	return refusal
@@ -117,13 +117,13 @@
 // caller has less time left than the route gives, by more than that. Callers that were refused
 // come back so. One whose own time is shorter than the route's is not known to be late.
 func (q *request) late() bool {
-	return q.call.TimeLeft > 0 && q.route.Timeout > 0 && q.route.Timeout-q.call.TimeLeft > q.route.Target
+	return q.call.TimeLeft > 0 && q.route.Timeout > 0 && q.route.Timeout-q.call.TimeLeft > q.route.LatencyTarget
 }
 
 // stillGood refuses a request whose key was taken away while it waited.
 func (s *Server) stillGood(q *request) *protocol.Refusal {
 	newest := s.opt.Table()
-	if newest == q.table || access.StillGood(newest.Workspaces, q.call.Credential, q.route.Public, q.who) {
+	if newest == q.table || access.StillValid(newest.Workspaces, q.call.Credential, q.route.Public, q.who) {
 		return nil
 	}
 	return protocol.Refuse(http.StatusUnauthorized, access.ReasonUnknownKey, "the key of this request was taken away while it waited", 0)
--- a/transport/edge/attempt.go
+++ b/transport/edge/attempt.go
@@ -82,7 +82,7 @@
 		Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
 		Header: s.opt.Dialect.Outbound(q.header, protocol.Attempt{
 			EndpointID: e.ID, TimeLeft: q.timeLeft(), Rank: q.rank, LastEventID: lastEventID,
-			Keyed: q.table.Workspaces.Keyed(), Workspace: q.workspace(),
+			KeyRequired: q.table.Workspaces.RequiresKey(), Workspace: q.workspace(),
 		}),
 	}
 	sent := clock.Now()
@@ -95,7 +95,7 @@
 		return nil, classify(ctx, err)
 	}
 	mark := s.opt.Dialect.ReadAnswer(resp.StatusCode, resp.Header)
-	s.noteUnread(q, e, s.opt.Dialect.Unread(resp.Header))
+	s.noteUnread(q, e, s.opt.Dialect.UnknownHeaders(resp.Header))
 	s.heard(q, e, sent, resp.StatusCode, mark)
 	if f := refusedByEndpoint(resp, mark, q); f != nil {
 		_, _ = io.CopyN(io.Discard, resp.Body, bufferBytes) // lets the connection be kept
@@ -112,7 +112,7 @@
 // heard takes what an answer says of its endpoint. One that is to another request, or may come
 // from another process, says nothing; a refusal says what it names only, since it may come from
 // what stands before the endpoint.
-func (s *Server) heard(q *request, e *fleet.Endpoint, sent time.Time, status int, mark protocol.AnswerMark) {
+func (s *Server) heard(q *request, e *fleet.Endpoint, sent time.Time, status int, mark protocol.AnswerMetadata) {
 	ours := mark.RequestID == q.call.ID
 	own := mark.Sealed && (ours || mark.RequestID == "")
 	refuses := mark.NotRun && (ours || mark.RequestID == "")
@@ -122,8 +122,8 @@
 	if other || misdirected || !own && !refuses && !fails {
 		return
 	}
-	s.opt.Throttle.Heard(throttle.Answer{
-		Life: e.Life(), Slots: e.Slots, Request: q.call.ID, Sent: sent, Says: mark.Says, Whole: own && !mark.NotRun,
+	s.opt.Throttle.ObserveAnswer(throttle.Answer{
+		Incarnation: e.Incarnation(), Slots: e.Slots, Request: q.call.ID, Sent: sent, Signals: mark.Backpressure, Authoritative: own && !mark.NotRun,
 	})
 }
 
@@ -132,7 +132,7 @@
 func classify(ctx context.Context, err error) *failure {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
-		return &failure{verdict: protocol.NotRun, reason: "endpoint-unreachable", err: err, unreachable: true, refused: quarantiner.RefusedConnection(err)}
+		return &failure{verdict: protocol.NotRun, reason: "endpoint-unreachable", err: err, unreachable: true, refused: quarantiner.IsConnectionRefused(err)}
 	}
 	if ctx.Err() != nil {
 		return &failure{verdict: protocol.MayHaveRun, reason: "no-answer-in-time", err: ctx.Err()}
@@ -142,7 +142,7 @@
 
 // refusedByEndpoint recognises the endpoint's word that the request has not
 // run.
-func refusedByEndpoint(resp *http.Response, mark protocol.AnswerMark, q *request) *failure {
+func refusedByEndpoint(resp *http.Response, mark protocol.AnswerMetadata, q *request) *failure {
 	if !mark.NotRun || mark.RequestID != "" && mark.RequestID != q.call.ID {
 		return nil
 	}
@@ -150,7 +150,7 @@
 	switch {
 	case mark.WrongEndpoint:
 		f.absent, f.reason = true, "not-held-there"
-	case mark.Says.Pause.For > 0:
+	case mark.Backpressure.Pause.For > 0:
 		f.paused, f.reason = true, "endpoint-paused"
 	case resp.StatusCode == http.StatusServiceUnavailable && q.call.Model != "" && q.waited > 0:
 		f.loading = true
@@ -161,7 +161,7 @@
 // foreign recognises answers that are not to this request, and successes that
 // the endpoint did not make. They have been sent in place of its answer, so
 // the request may have run.
-func foreign(resp *http.Response, mark protocol.AnswerMark, q *request) *failure {
+func foreign(resp *http.Response, mark protocol.AnswerMetadata, q *request) *failure {
 	switch {
 	case mark.RequestID != q.call.ID:
 		return &failure{verdict: protocol.MayHaveRun, reason: "crossed-answer", err: fmt.Errorf("answer to %q", mark.RequestID)}
@@ -178,8 +178,8 @@
 	defer cancel(nil)
 	s.opt.Balancer.Started(e)
 	began := time.Now()
-	s.countRunning(q, e.Life(), 1)
-	defer s.countRunning(q, e.Life(), -1)
+	s.countRunning(q, e.Incarnation(), 1)
+	defer s.countRunning(q, e.Incarnation(), -1)
 	ok := false
 	defer func() { s.opt.Balancer.Ended(clock.Now(), e, q.unit(), time.Since(began), ok) }()
 	w := s.watch(q, e, more, cancel)
@@ -188,7 +188,7 @@
 	heard := a.last
 	resp, f := s.send(ctx, q, e, a.lastID)
 	if f == nil {
-		a.endpoint = e.Life()
+		a.endpoint = e.Incarnation()
 		f = s.deliver(q, a, resp, w, more)
 		_ = resp.Body.Close()
 	}
@@ -201,7 +201,7 @@
 		s.client.kept.CloseIdleConnections() // they may be as dead as the one that was waited on
 	}
 	if f != nil && f.verdict != protocol.NotRun && a.first.IsZero() {
-		s.countFirst(q, e.Life(), time.Since(a.sent))
+		s.countFirst(q, e.Incarnation(), time.Since(a.sent))
 	}
 	ok = f == nil
 	return f
@@ -220,7 +220,7 @@
 func (s *Server) hasOther(q *request, id string) bool {
 	now := clock.Now()
 	return slices.ContainsFunc(s.candidates(q), func(e *fleet.Endpoint) bool {
-		return e.ID != id && !e.Leaving && !s.opt.Balancer.Avoided(now, e.Life())
+		return e.ID != id && !e.Leaving && !s.opt.Balancer.Avoided(now, e.Incarnation())
 	})
 }
 
--- a/transport/edge/demand.go
+++ b/transport/edge/demand.go
@@ -15,8 +15,8 @@
 	defer s.mu.Unlock()
 	out := make(map[string]residency.Demand, len(s.demand))
 	for service, d := range s.demand {
-		out[service] = residency.Demand{Active: maps.Clone(d.Active), Running: maps.Clone(d.Running), First: maps.Clone(d.First)}
-		clear(d.First)
+		out[service] = residency.Demand{Active: maps.Clone(d.Active), Running: maps.Clone(d.Running), FirstEvents: maps.Clone(d.FirstEvents)}
+		clear(d.FirstEvents)
 	}
 	return out
 }
@@ -29,10 +29,10 @@
 // countFirst notes how long an endpoint took to begin its answer, or to not
 // begin it.
 func (s *Server) countFirst(q *request, endpoint fleet.Incarnation, after time.Duration) {
-	slow := float64(after) > slowPart*float64(q.route.Target)
+	slow := float64(after) > slowPart*float64(q.route.LatencyTarget)
 	s.countDemand(q, func(d residency.Demand) {
 		place := residency.Place{Endpoint: endpoint, Model: q.call.Model}
-		f, known := d.First[place]
+		f, known := d.FirstEvents[place]
 		if !known || q.rank < f.Rank {
 			f.Rank = q.rank
 		}
@@ -40,7 +40,7 @@
 		if slow {
 			f.Slow++
 		}
-		d.First[place] = f
+		d.FirstEvents[place] = f
 	})
 }
 
@@ -82,7 +82,7 @@
 	defer s.mu.Unlock()
 	d, ok := s.demand[q.service.Name]
 	if !ok {
-		d = residency.Demand{Active: map[string]int{}, Running: map[residency.Place]int{}, First: map[residency.Place]residency.FirstEvents{}}
+		d = residency.Demand{Active: map[string]int{}, Running: map[residency.Place]int{}, FirstEvents: map[residency.Place]residency.FirstEvents{}}
 		s.demand[q.service.Name] = d
 	}
 	change(d)
--- a/transport/edge/demand_test.go
+++ b/transport/edge/demand_test.go
@@ -24,7 +24,7 @@
 func testRequest() *request {
 	return &request{
 		call: protocol.Call{ID: "r", Model: "m"}, service: &routing.Service{Name: "llm"},
-		route: &routing.Route{Target: time.Second, Rank: 1}, rank: 1,
+		route: &routing.Route{LatencyTarget: time.Second, Rank: 1}, rank: 1,
 	}
 }
 
@@ -48,10 +48,10 @@
 	s.countFirst(q, fleet.Incarnation{ID: "e"}, 100*time.Millisecond)
 	s.countFirst(q, fleet.Incarnation{ID: "e"}, 900*time.Millisecond)
 	place := residency.Place{Endpoint: fleet.Incarnation{ID: "e"}, Model: "m"}
-	if got, want := s.Demand()["llm"].First[place], (residency.FirstEvents{Count: 2, Slow: 1, Rank: 1}); got != want {
+	if got, want := s.Demand()["llm"].FirstEvents[place], (residency.FirstEvents{Count: 2, Slow: 1, Rank: 1}); got != want {
 		t.Fatalf("got %+v, want %+v", got, want)
 	}
-	if got := s.Demand()["llm"].First; len(got) != 0 {
+	if got := s.Demand()["llm"].FirstEvents; len(got) != 0 {
 		t.Fatalf("told again: %+v", got)
 	}
 }
--- a/transport/edge/locate.go
+++ b/transport/edge/locate.go
@@ -42,7 +42,7 @@
 			return e, nil
 		}
 		shut := s.shut(q, t, s.holders(q))
-		ans := s.opt.Locator.Want(ctx, q.service.Name, residency.Want{Model: q.call.Model, Adapter: q.call.Adapter, Rank: q.rank, Avoid: avoid, Unreachable: unreachable, Absent: absent, Full: shut.lives})
+		ans := s.opt.Locator.Want(ctx, q.service.Name, residency.Want{Model: q.call.Model, Adapter: q.call.Adapter, Rank: q.rank, Avoid: avoid, Unreachable: unreachable, MissingAt: absent, Full: shut.lives})
 		absent, unreachable = fleet.Incarnation{}, false // told once
 		if ctx.Err() != nil {
 			return nil, s.outOfTime(protocol.NotRun)
@@ -56,8 +56,8 @@
 			}
 		}
 		if ans.Refused == "" && ans.ReadyIn <= 0 {
-			if e := s.opt.View().Of(ans.Endpoint); e != nil && s.takes(q, t, e) {
-				s.opt.Balancer.Present(e.Life(), q.unit())
+			if e := s.opt.View().Find(ans.Endpoint); e != nil && s.takes(q, t, e) {
+				s.opt.Balancer.ClearAbsent(e.Incarnation(), q.unit())
 				q.named = true
 				return e, s.join(q, t, ans)
 			}
@@ -78,7 +78,7 @@
 
 // takes reports whether an endpoint takes a request now.
 func (s *Server) takes(q *request, t *tries, e *fleet.Endpoint) bool {
-	return !e.Leaving && !s.opt.Balancer.IsGone(clock.Now(), e.Life()) && s.opt.Throttle.Look(e.Life(), t.ask(q)).Open
+	return !e.Leaving && !s.opt.Balancer.Unreachable(clock.Now(), e.Incarnation()) && s.opt.Throttle.Peek(e.Incarnation(), t.ask(q)).Open
 }
 
 // waitSooner waits for an endpoint that holds the model and wants no requests now, or for the
@@ -94,14 +94,14 @@
 // has named, which is full. One that an endpoint has worked on goes on, and so does one
 // that is more urgent than others: endpoints admit it before them.
 func (s *Server) join(q *request, t *tries, ans residency.Answer) *protocol.Refusal {
-	if t.verdict != protocol.NotRun || q.rank < q.service.LeastUrgent {
+	if t.verdict != protocol.NotRun || q.rank < q.service.LeastUrgentRank {
 		return nil
 	}
-	d := waiting.Join(waiting.QueueInput{StartsIn: ans.StartsIn, Elapsed: time.Since(q.arrived), TimeLeft: q.timeLeft(), Target: q.route.Target})
+	d := waiting.Join(waiting.QueueInput{StartsIn: ans.StartsIn, Elapsed: time.Since(q.arrived), TimeLeft: q.timeLeft(), Target: q.route.LatencyTarget})
 	if d.Wait {
 		return nil
 	}
-	detail := fmt.Sprintf("all endpoints that hold the model are full: a slot at %q in %d ms, objective %d ms", ans.Endpoint.ID, ans.StartsIn.Milliseconds(), q.route.Target.Milliseconds())
+	detail := fmt.Sprintf("all endpoints that hold the model are full: a slot at %q in %d ms, objective %d ms", ans.Endpoint.ID, ans.StartsIn.Milliseconds(), q.route.LatencyTarget.Milliseconds())
 	return protocol.Refuse(http.StatusServiceUnavailable, "endpoints-full", detail, d.RetryAfter)
 }
 
@@ -114,8 +114,8 @@
 	source := sourceOf(ans)
 	margin := s.margins.Of(source)
 	d := waiting.Decide(waiting.Input{
-		ReadyIn: ans.ReadyIn, Margin: margin, Elapsed: t.silentFor(q), TimeLeft: q.timeLeft(), Target: q.route.Target,
-		Patience: q.route.Patience, Begun: t.verdict != protocol.NotRun,
+		ReadyIn: ans.ReadyIn, Margin: margin, Elapsed: t.silentFor(q), TimeLeft: q.timeLeft(), Target: q.route.LatencyTarget,
+		MaxWait: q.route.MaxWait, Started: t.verdict != protocol.NotRun,
 	})
 	if !d.Wait {
 		reason := ans.Refused
@@ -128,7 +128,7 @@
 	if t.estimated.IsZero() {
 		t.estimated, t.source = time.Now().Add(ans.ReadyIn), source
 	}
-	s.opt.Log.Info(decisions.EventWaiting, "request", q.call.ID, "model", q.unit(), "endpoint", ans.Endpoint.ID, "level", ans.Level.String(), "ready_in_ms", ans.ReadyIn.Milliseconds(), "margin_ms", margin.Milliseconds(), "elapsed_ms", elapsed.Milliseconds())
+	s.opt.Log.Info(decisions.EventRequestWaiting, "request", q.call.ID, "model", q.unit(), "endpoint", ans.Endpoint.ID, "level", ans.Level.String(), "ready_in_ms", ans.ReadyIn.Milliseconds(), "margin_ms", margin.Milliseconds(), "elapsed_ms", elapsed.Milliseconds())
 	pause.For(ctx, min(max(ans.ReadyIn, time.Millisecond), askPause))
 	q.waited = time.Since(q.arrived)
 	s.metrics.waited.RecordDuration(time.Since(q.arrived) - elapsed)
@@ -149,13 +149,13 @@
 func sourceOf(ans residency.Answer) waiting.Source {
 	switch {
 	case ans.Refused != "" || ans.Endpoint.IsZero():
-		return waiting.Vacancy
+		return waiting.Unscheduled
 	case ans.Level == residency.Resident:
 		return waiting.Loaded
 	case ans.Level == residency.Store:
-		return waiting.Far
+		return waiting.WeightStore
 	}
-	return waiting.Near
+	return waiting.Nearby
 }
 
 // observeWait compares the end of a wait with what was said at its begin. A wait
@@ -181,7 +181,7 @@
 func (s *Server) locatePlain(ctx context.Context, q *request, t *tries) (*fleet.Endpoint, *protocol.Refusal) {
 	for {
 		list := s.opt.View().ByService[q.service.Name]
-		if e := s.opt.Balancer.Pick(clock.Now(), list, balance.Query{Exclude: t.exclude, Ask: t.ask(q)}); e != nil {
+		if e := s.opt.Balancer.Pick(clock.Now(), list, balance.Query{Exclude: t.exclude, Request: t.ask(q)}); e != nil {
 			return e, nil
 		}
 		if e := s.leavingThatServes(q, t); e != nil {
@@ -216,14 +216,14 @@
 		return nil
 	}
 	holders := s.holders(q)
-	e := s.opt.Balancer.Pick(clock.Now(), holders, balance.Query{Unit: q.unit(), Affinity: affinity(q), Exclude: exclude, Ask: t.ask(q)})
+	e := s.opt.Balancer.Pick(clock.Now(), holders, balance.Query{Unit: q.unit(), Affinity: affinity(q), Exclude: exclude, Request: t.ask(q)})
 	if e == nil {
 		return nil
 	}
-	if s.opt.Balancer.Crowded(clock.Now(), holders, balance.Query{Unit: q.unit(), Exclude: exclude, Ask: t.ask(q)}) {
+	if s.opt.Balancer.NearCapacity(clock.Now(), holders, balance.Query{Unit: q.unit(), Exclude: exclude, Request: t.ask(q)}) {
 		return nil // the coordinator knows of each request that it has named an endpoint for
 	}
-	if len(holders) >= severalHolders || s.opt.Balancer.Vouched(clock.Now(), e.Life(), q.unit()) {
+	if len(holders) >= severalHolders || s.opt.Balancer.RecentlyServed(clock.Now(), e.Incarnation(), q.unit()) {
 		return e
 	}
 	return nil
@@ -235,7 +235,7 @@
 
 // locateAny picks any listed holder, when the coordinator cannot be asked.
 func (s *Server) locateAny(q *request, t *tries, exclude []fleet.Incarnation) *fleet.Endpoint {
-	return s.opt.Balancer.Pick(clock.Now(), s.holders(q), balance.Query{Unit: q.unit(), Affinity: affinity(q), Exclude: exclude, Ask: t.ask(q)})
+	return s.opt.Balancer.Pick(clock.Now(), s.holders(q), balance.Query{Unit: q.unit(), Affinity: affinity(q), Exclude: exclude, Request: t.ask(q)})
 }
 
 func affinity(q *request) string {
--- a/transport/edge/retry.go
+++ b/transport/edge/retry.go
@@ -85,7 +85,7 @@
 // untriedAmong is hasUntried for some endpoints.
 func (s *Server) untriedAmong(q *request, t *tries, candidates []*fleet.Endpoint) bool {
 	return slices.ContainsFunc(candidates, func(e *fleet.Endpoint) bool {
-		return s.takes(q, t, e) && !slices.ContainsFunc(t.exclude, e.Life().Same)
+		return s.takes(q, t, e) && !slices.ContainsFunc(t.exclude, e.Incarnation().Matches)
 	})
 }
 
@@ -93,7 +93,7 @@
 // pause.
 func (t *tries) outlasts(q *request, d time.Duration) bool {
 	return waiting.Decide(waiting.Input{
-		ReadyIn: d, Elapsed: t.silentFor(q), TimeLeft: q.timeLeft(), Patience: q.route.Patience, Begun: true,
+		ReadyIn: d, Elapsed: t.silentFor(q), TimeLeft: q.timeLeft(), MaxWait: q.route.MaxWait, Started: true,
 	}).Wait
 }
 
--- a/transport/edge/run.go
+++ b/transport/edge/run.go
@@ -36,7 +36,7 @@
 	source    waiting.Source
 	// place is the request's in the line of an endpoint that it waits for, nil if it does not,
 	// and waitsUntil is until when the last such wait was to end at the latest.
-	place      *backpressure.Place
+	place      *backpressure.Waiter
 	waitsUntil time.Time
 }
 
@@ -58,7 +58,7 @@
 		return true
 	}
 	resumable := !a.begun || a.lastID != ""
-	return q.route.Repeatable() && t.ran < q.route.Attempts && resumable
+	return q.route.Repeatable() && t.ran < q.route.MaxAttempts && resumable
 }
 
 // run tries endpoints until one has answered. It returns nil when the caller
@@ -85,16 +85,16 @@
 		if a.begun {
 			s.metrics.resumed.Inc(1)
 		}
-		f := s.attempt(ctx, q, e, a, t.ran+1 < q.route.Attempts)
+		f := s.attempt(ctx, q, e, a, t.ran+1 < q.route.MaxAttempts)
 		if f == nil {
-			s.opt.Quarantine.Served(q.fingerprint, clock.Now().Add(-time.Since(a.sent)))
+			s.opt.Quarantine.ObserveSuccess(q.fingerprint, clock.Now().Add(-time.Since(a.sent)))
 			return nil
 		}
 		s.tellQuarantine(ctx, q, e, a, f)
-		t.note(f, e.Life())
+		t.note(f, e.Incarnation())
 		t.heard = a.last
 		if s.learn(ctx, q, e, f) {
-			t.exclude = append(t.exclude, e.Life())
+			t.exclude = append(t.exclude, e.Incarnation())
 		}
 		again := t.again(q, a)
 		s.opt.Log.Info(decisions.EventAttemptFailed, "request", q.call.ID, "endpoint", e.ID, "endpoint_revision", e.Version, "reason", f.reason, "error", f.err,
@@ -117,7 +117,7 @@
 // meanwhile.
 func (s *Server) place(ctx context.Context, q *request, t *tries) (*fleet.Endpoint, *protocol.Refusal) {
 	on := func() quarantine.Software { return s.software(q) }
-	if refusal := s.opt.Quarantine.Waits(q.fingerprint, on); refusal != nil {
+	if refusal := s.opt.Quarantine.CheckHeld(q.fingerprint, on); refusal != nil {
 		return nil, refusal
 	}
 	for range placesTried {
@@ -142,22 +142,22 @@
 func (s *Server) admit(ctx context.Context, q *request, t *tries, e *fleet.Endpoint, on func() quarantine.Software) (admitted bool, refusal *protocol.Refusal) {
 	// One that has just started hears first what others know, but refuses what it cannot
 	// place without.
-	s.opt.Quarantine.Settle(ctx)
-	s.opt.Throttle.Settle(ctx)
+	s.opt.Quarantine.WaitSynced(ctx)
+	s.opt.Throttle.WaitSynced(ctx)
 	if q.trial, refusal = s.opt.Quarantine.Admit(ctx, q.fingerprint, on); refusal != nil {
 		return false, refusal
 	}
-	pass, d := s.opt.Throttle.Admit(ctx, e.Life(), t.ask(q))
+	pass, d := s.opt.Throttle.Admit(ctx, e.Incarnation(), t.ask(q))
 	if d.Closed() {
-		s.opt.Quarantine.GiveBack(q.trial)
+		s.opt.Quarantine.ReturnProbe(q.trial)
 		return false, nil
 	}
 	if refusal = s.stillGood(q); refusal == nil && q.timeLeft() <= 0 { // its host was suspended while it waited
 		refusal = s.outOfTime(t.verdict)
 	}
 	if refusal != nil {
-		s.opt.Throttle.Return(pass)
-		s.opt.Quarantine.GiveBack(q.trial)
+		s.opt.Throttle.Refund(pass)
+		s.opt.Quarantine.ReturnProbe(q.trial)
 		return false, refusal
 	}
 	q.pass = pass
@@ -168,17 +168,17 @@
 // tellQuarantine tells of a failure that may mean that the endpoint has ended.
 func (s *Server) tellQuarantine(ctx context.Context, q *request, e *fleet.Endpoint, a *answer, f *failure) {
 	if f.verdict == protocol.NotRun {
-		s.opt.Quarantine.GiveBack(q.trial)
+		s.opt.Quarantine.ReturnProbe(q.trial)
 	}
 	if f.unreachable {
-		s.opt.Throttle.Return(q.pass)
+		s.opt.Throttle.Refund(q.pass)
 	}
 	switch {
 	case f.unreachable:
-		s.opt.Quarantine.Refused(e.Life(), f.err)
+		s.opt.Quarantine.ObserveDialError(e.Incarnation(), f.err)
 	case f.broken:
-		s.opt.Quarantine.Broke(ctx, quarantiner.Attempt{
-			Request: q.call.ID, Fingerprint: q.fingerprint(), Life: e.Life(), Address: e.Address, Sent: clock.Now().Add(-time.Since(a.sent)), Began: f.began, Software: s.software(q),
+		s.opt.Quarantine.ObserveBroken(ctx, quarantiner.BrokenAttempt{
+			Request: q.call.ID, Fingerprint: q.fingerprint(), Incarnation: e.Incarnation(), Address: e.Address, Sent: clock.Now().Add(-time.Since(a.sent)), AnswerBegan: f.began, Software: s.software(q),
 		})
 	}
 }
@@ -206,7 +206,7 @@
 	if verdict == protocol.NotRun {
 		return protocol.Refuse(http.StatusServiceUnavailable, "out-of-time", "the request's time is over", retryBusy)
 	}
-	return protocol.Unsure(http.StatusGatewayTimeout, "out-of-time", "the request's time is over")
+	return protocol.RefuseMayHaveRun(http.StatusGatewayTimeout, "out-of-time", "the request's time is over")
 }
 
 // giveUp turns the last failure into the final answer.
@@ -217,7 +217,7 @@
 		}
 		return protocol.Refuse(http.StatusServiceUnavailable, t.last.reason, "no endpoint took the request", retryBusy)
 	}
-	r := protocol.Unsure(http.StatusBadGateway, t.last.reason, "the endpoint's answer did not arrive")
+	r := protocol.RefuseMayHaveRun(http.StatusBadGateway, t.last.reason, "the endpoint's answer did not arrive")
 	r.Verdict = t.verdict
 	return r
 }
@@ -239,7 +239,7 @@
 	case ctx.Err() != nil:
 		return false
 	case f.absent:
-		s.opt.Balancer.Absent(now, e.Life(), q.unit())
+		s.opt.Balancer.MarkAbsent(now, e.Incarnation(), q.unit())
 		return q.call.Model == ""
 	case f.loading:
 		pause.For(ctx, loadingPause)
@@ -248,9 +248,9 @@
 		return false // what it has said itself keeps all requests away
 	}
 	if f.refused {
-		s.opt.Balancer.Gone(now, e.Life())
+		s.opt.Balancer.MarkUnreachable(now, e.Incarnation())
 	}
-	d := s.opt.Balancer.Failed(now, e.Life())
-	s.opt.Log.Info(decisions.EventAvoided, "request", q.call.ID, "endpoint", e.ID, "reason", f.reason, "for_ms", d.Milliseconds())
+	d := s.opt.Balancer.Failed(now, e.Incarnation())
+	s.opt.Log.Info(decisions.EventEndpointAvoided, "request", q.call.ID, "endpoint", e.ID, "reason", f.reason, "for_ms", d.Milliseconds())
 	return true
 }
--- a/transport/edge/server.go
+++ b/transport/edge/server.go
@@ -59,11 +59,11 @@
 	// Access bounds how long keys are taken on a view of some age.
 	Access access.Bounds
 	// Quotas counts requests for their workspaces.
-	Quotas *quotas.Keeper
+	Quotas *quotas.Controller
 	// Throttle keeps to what endpoints say of themselves.
-	Throttle *throttle.Keeper
+	Throttle *throttle.Controller
 	// Quarantine holds requests back under which endpoints end.
-	Quarantine *quarantiner.Keeper
+	Quarantine *quarantiner.Controller
 	Log        *decisions.Log
 	Metrics    tally.Scope
 	// FlushEvery is how long events of a stream may be gathered before they
@@ -133,7 +133,7 @@
 	header   http.Header
 	body     []byte
 	print    *protocol.Fingerprint // nil until it is asked for
-	trial    quarantiner.Trial     // that this attempt is
+	trial    quarantiner.Probe     // that this attempt is
 	table    *routing.Table        // that it came under
 	stateAge time.Duration         // how old that may have been
 	who      *workspace.Workspace  // that it is counted for; nil: nobody
@@ -226,7 +226,7 @@
 	switch {
 	case refusal == nil:
 		s.metrics.answered.Inc(1)
-		s.opt.Log.Routine(decisions.EventAnswered, "request", q.call.ID, "route", q.route.Name, "model", q.unit(), "status", a.status,
+		s.opt.Log.InfoSampled(decisions.EventAnswered, "request", q.call.ID, "route", q.route.Name, "model", q.unit(), "status", a.status,
 			"ms", time.Since(arrived).Milliseconds(), "first_event_ms", a.firstAfter().Milliseconds(), "longest_gap_ms", a.gap.Milliseconds(), "waited_ms", q.waited.Milliseconds(), "sent_ms", a.sent.Sub(arrived).Milliseconds(), "endpoints_age_ms", a.viewAge.Milliseconds(), "endpoint", a.endpoint.ID, "version", q.version(), "workspace", q.workspace())
 	case r.Context().Err() != nil:
 		s.metrics.gone.Inc(1)
@@ -270,7 +270,7 @@
 	if refusal.Verdict != protocol.NotRun {
 		event, count = decisions.EventFailed, s.metrics.failed
 	} else if q != nil {
-		s.opt.Quotas.Return(q.ticket)
+		s.opt.Quotas.Refund(q.ticket)
 	}
 	count.Inc(1)
 	s.logEnd(event, q, refusal, endpoint)
--- a/transport/edge/shut.go
+++ b/transport/edge/shut.go
@@ -40,8 +40,8 @@
 }
 
 // ask is the request's place among those that wait. An answer that has begun goes on before others.
-func (t *tries) ask(q *request) backpressure.Ask {
-	a := backpressure.Ask{Rank: q.rank, Deadline: q.deadline, Place: t.place}
+func (t *tries) ask(q *request) backpressure.Request {
+	a := backpressure.Request{Rank: q.rank, Deadline: q.deadline, Waiter: t.place}
 	if t.verdict != protocol.NotRun {
 		a.Rank = -1
 	}
@@ -51,13 +51,13 @@
 // shut returns the endpoints among some that want no request like this one now.
 func (s *Server) shut(q *request, t *tries, candidates []*fleet.Endpoint) shutEndpoints {
 	shut := shutEndpoints{all: !s.untriedAmong(q, t, candidates)}
-	for _, e := range s.opt.Balancer.Shut(clock.Now(), candidates, t.ask(q)) {
-		turn := s.opt.Throttle.Turn(e.Life(), t.ask(q), s.opt.Balancer.Rate(e))
+	for _, e := range s.opt.Balancer.Unavailable(clock.Now(), candidates, t.ask(q)) {
+		turn := s.opt.Throttle.EstimateWait(e.Incarnation(), t.ask(q), s.opt.Balancer.Rate(e))
 		if len(shut.lives) == 0 || turn < shut.turn {
-			shut.first, shut.turn = e.Life(), turn
-			shut.reason = s.opt.Throttle.Look(e.Life(), t.ask(q)).Reason
+			shut.first, shut.turn = e.Incarnation(), turn
+			shut.reason = s.opt.Throttle.Peek(e.Incarnation(), t.ask(q)).Reason
 		}
-		shut.lives = append(shut.lives, e.Life())
+		shut.lives = append(shut.lives, e.Incarnation())
 	}
 	return shut
 }
@@ -65,7 +65,7 @@
 // awaitTurn waits until an endpoint takes the request, in the line of the one that will first, or
 // refuses it at once if that is too late for its caller.
 func (s *Server) awaitTurn(ctx context.Context, q *request, t *tries, shut shutEndpoints) *protocol.Refusal {
-	if t.place != nil && !slices.Contains(shut.lives, t.place.Life()) {
+	if t.place != nil && !slices.Contains(shut.lives, t.place.Incarnation()) {
 		s.quitLine(t, false)
 	}
 	if t.place == nil {
@@ -73,12 +73,12 @@
 			return s.refuseShut(q, t, shut)
 		}
 		t.waitsUntil = clock.Now().Add(shut.turn + marginOf(shut.turn))
-		t.place = s.opt.Throttle.Join(shut.first, t.ask(q))
+		t.place = s.opt.Throttle.Enqueue(shut.first, t.ask(q))
 	}
 	for {
 		now := s.shut(q, t, s.candidates(q))
 		switch {
-		case !slices.Contains(now.lives, t.place.Life()) || now.turn <= 0 || !now.all:
+		case !slices.Contains(now.lives, t.place.Incarnation()) || now.turn <= 0 || !now.all:
 			return nil // a look at all endpoints shows which takes it
 		case t.verdict == protocol.NotRun && clock.Now().Add(now.turn).After(t.waitsUntil):
 			return s.refuseShut(q, t, now)
@@ -96,8 +96,8 @@
 // vain, waits again only while it can be in time.
 func (t *tries) worthWaiting(q *request, turn time.Duration) bool {
 	return waiting.Decide(waiting.Input{
-		ReadyIn: turn, Margin: marginOf(turn), Elapsed: t.silentFor(q), TimeLeft: q.timeLeft(), Target: q.route.Target, Patience: q.route.Patience,
-		Begun: t.verdict != protocol.NotRun, Again: !t.waitsUntil.IsZero(),
+		ReadyIn: turn, Margin: marginOf(turn), Elapsed: t.silentFor(q), TimeLeft: q.timeLeft(), Target: q.route.LatencyTarget, MaxWait: q.route.MaxWait,
+		Started: t.verdict != protocol.NotRun, WaitedBefore: !t.waitsUntil.IsZero(),
 	}).Wait
 }
 
@@ -105,7 +105,7 @@
 // turn.
 func (s *Server) quitLine(t *tries, admitted bool) {
 	if t.place != nil {
-		s.opt.Throttle.Quit(t.place, admitted)
+		s.opt.Throttle.Dequeue(t.place, admitted)
 		t.place = nil
 	}
 }
@@ -116,7 +116,7 @@
 		return protocol.Refuse(http.StatusServiceUnavailable, string(backpressure.Limited), "endpoints take no more requests now, by their own word", retryBusy)
 	}
 	s.quitLine(t, false)
-	s.opt.Throttle.Promise(shut.first, t.ask(q), shut.turn)
+	s.opt.Throttle.ReserveRetry(shut.first, t.ask(q), shut.turn)
 	detail := fmt.Sprintf("%d endpoints take no more requests now, by their own word: %q the first, in %d ms", len(shut.lives), shut.first.ID, shut.turn.Milliseconds())
 	return protocol.Refuse(http.StatusServiceUnavailable, string(shut.reason), detail, max(shut.turn, protocol.MinRetryAfter))
 }
@@ -128,5 +128,5 @@
 	if q.call.Model != "" && q.service.Engine != nil {
 		list = holding(list, q)
 	}
-	return s.opt.Balancer.PickLeaving(clock.Now(), list, balance.Query{Unit: q.unit(), Exclude: t.exclude, Ask: t.ask(q)})
+	return s.opt.Balancer.PickLeaving(clock.Now(), list, balance.Query{Unit: q.unit(), Exclude: t.exclude, Request: t.ask(q)})
 }
--- a/transport/edge/unread.go
+++ b/transport/edge/unread.go
@@ -12,7 +12,7 @@
 	for _, name := range names {
 		s.metrics.unread.Inc(1)
 		if s.unread.First(name) {
-			s.opt.Log.Info(decisions.EventUnreadHeader, "name", name, "endpoint", e.ID, "request", q.call.ID)
+			s.opt.Log.Info(decisions.EventUnknownHeader, "name", name, "endpoint", e.ID, "request", q.call.ID)
 		}
 	}
 }
--- a/transport/edge/watch.go
+++ b/transport/edge/watch.go
@@ -24,9 +24,9 @@
 
 // silenceTime is how long an endpoint may be silent before another is tried.
 func silenceTime(q *request) time.Duration {
-	t := q.route.Patience / silencePart
+	t := q.route.MaxWait / silencePart
 	if q.route.Kind != routing.Streaming {
-		t = q.route.Target
+		t = q.route.LatencyTarget
 	}
 	return max(t, minSilence)
 }
--- a/transport/edge/watch_test.go
+++ b/transport/edge/watch_test.go
@@ -27,14 +27,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		log := decisions.New(io.Discard, "test", hclog.Off)
 		defer log.Close()
-		holds := []fleet.Loaded{{Model: "m"}}
+		holds := []fleet.LoadedModel{{Model: "m"}}
 		view := fleet.NewView(storeversion.Version{Revision: 1}, []*fleet.Endpoint{{ID: "slow", Service: "llm", Models: holds}, {ID: "full", Service: "llm", Models: holds}})
 		s := New(Options{
 			View: func() *fleet.View { return view }, Balancer: balance.New("z", 1, said()), Budget: retry.NewBudget(), Log: log, Metrics: tally.NoopScope,
 		})
 		q := testRequest()
 		q.service.Engine = &routing.Engine{}
-		q.route.Kind, q.route.Resumable, q.route.Attempts, q.route.Patience = routing.Streaming, true, 2, 2*time.Second
+		q.route.Kind, q.route.Resumable, q.route.MaxAttempts, q.route.MaxWait = routing.Streaming, true, 2, 2*time.Second
 		ctx, cancel := context.WithCancelCause(t.Context())
 		defer cancel(nil)
 		for range 4 {
@@ -59,13 +59,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		log := decisions.New(io.Discard, "test", hclog.Off)
 		defer log.Close()
-		holds := []fleet.Loaded{{Model: "m"}}
+		holds := []fleet.LoadedModel{{Model: "m"}}
 		view := fleet.NewView(storeversion.Version{Revision: 1}, []*fleet.Endpoint{{ID: "a", Service: "llm", Models: holds}, {ID: "b", Service: "llm", Models: holds}})
 		budget := retry.NewBudgetOf(0, 1)
 		s := New(Options{View: func() *fleet.View { return view }, Balancer: balance.New("z", 1, said()), Budget: budget, Log: log, Metrics: tally.NoopScope})
 		q := testRequest()
 		q.service.Engine = &routing.Engine{}
-		q.route.Kind, q.route.Resumable, q.route.Attempts, q.route.Patience = routing.Streaming, true, 2, 2*time.Second
+		q.route.Kind, q.route.Resumable, q.route.MaxAttempts, q.route.MaxWait = routing.Streaming, true, 2, 2*time.Second
 		w := s.watch(q, view.ByID["a"], true, func(error) { t.Error("given up after its end") })
 		w.stop()
 		time.Sleep(time.Minute)
@@ -85,7 +85,7 @@
 			view := fleet.NewView(storeversion.Version{Revision: 1}, nil)
 			s := New(Options{View: func() *fleet.View { return view }, Balancer: balance.New("z", 1, said()), Budget: retry.NewBudgetOf(0, 0), Metrics: tally.NoopScope})
 			q := testRequest()
-			q.arrived, q.deadline, q.route.Patience = time.Now(), time.Now().Add(time.Minute), patience
+			q.arrived, q.deadline, q.route.MaxWait = time.Now(), time.Now().Add(time.Minute), patience
 			tr := &tries{sends: 1, ran: 1, verdict: protocol.MayHaveRun, last: &failure{verdict: protocol.MayHaveRun}}
 			if s.payRetry(t.Context(), q, tr, begun) {
 				t.Fatal("a retry out of an empty budget")
@@ -98,4 +98,4 @@
 }
 
 // said returns a book in which no endpoint has said anything.
-func said() *backpressure.Book { return backpressure.New(backpressure.Options{}) }
+func said() *backpressure.Tracker { return backpressure.New(backpressure.Options{}) }
--- a/transport/operators/server.go
+++ b/transport/operators/server.go
@@ -118,7 +118,7 @@
 	case rules.Error.Has(err):
 		return answer(c, protocol.Refuse(http.StatusForbidden, "rollout-refused", err.Error(), 0))
 	default:
-		return answer(c, protocol.Unsure(http.StatusServiceUnavailable, "platform-unavailable", err.Error()))
+		return answer(c, protocol.RefuseMayHaveRun(http.StatusServiceUnavailable, "platform-unavailable", err.Error()))
 	}
 }
 
@@ -204,7 +204,7 @@
 }
 
 func (s *Server) stop(c echo.Context) error {
-	s.opt.Log.Info(decisions.EventStopAsked, "operator", operator(c))
+	s.opt.Log.Info(decisions.EventStopRequested, "operator", operator(c))
 	s.opt.Stop()
 	return c.NoContent(http.StatusAccepted)
 }
--- a/transport/platform/client.go
+++ b/transport/platform/client.go
@@ -136,7 +136,7 @@
 	}
 	defer func() { _ = resp.Body.Close() }()
 	a.status = resp.StatusCode
-	if a.generation, err = c.opt.Generations.Read(resp.Header.Get(headerGeneration), method); err != nil {
+	if a.generation, err = c.opt.Generations.ObserveHeader(resp.Header.Get(headerGeneration), method); err != nil {
 		return a, Error.Wrap(err)
 	}
 	limit.Extend(silence.TransferTimeout)
