--- a/coordination/keepalive/keepalive.go
+++ b/coordination/keepalive/keepalive.go
@@ -1,7 +1,7 @@
-// Package keepalive decides how long an unused replica is worth its memory.
-// It learns each unit's gaps between arrivals and its time of day, and weighs
-// the cost of a cold start against idle accelerator time with the weights of
-// the deployment. It does no I/O and reads no clock.
+// Package keepalive decides how long an unused replica stays loaded. It learns the gaps
+// between arrivals and the time of day of each unit, and weighs the cost of a cold start
+// against that of idle accelerator time, with the weights of the deployment. It does no I/O
+// and reads no clock.
 package keepalive
 
 import (
@@ -12,10 +12,10 @@
 	"github.com/doorvalve/doorvalve/coordination/placement"
 )
 
-// Options are the deployment's weights and bounds.
+// Options holds the weights and bounds of the deployment.
 type Options struct {
-	ColdStartWeight float64 // cost of one second of load that a request waits for
-	IdleWeight      float64 // cost of one idle accelerator second
+	ColdStartWeight float64 // cost of one second of load time that a request waits for
+	IdleWeight      float64 // cost of one second of idle accelerator time
 	MinIdle         time.Duration
 	MaxIdle         time.Duration
 }
@@ -23,16 +23,16 @@
 const (
 	gapBuckets   = 24 // bucket i holds gaps below 2^i seconds
 	gapDecay     = 0.98
-	priorWeight  = 1.0 // one observation's worth of prior belief
-	dayParts     = 96  // quarter hours
+	priorWeight  = 1.0 // weight of the prior, in observations
+	dayParts     = 96  // one for each quarter of an hour
 	partLength   = 24 * time.Hour / dayParts
 	dayRate      = 0.34 // weight of the newest day
-	prewarmAhead = 1.5  // load times before the part begins
+	prewarmAhead = 1.5  // lead before the next part of the day, in load times
 	burstGap     = 5 * time.Second
 	burstRate    = 0.2 // weight of the newest burst
 )
 
-// unit is what is known of one unit.
+// unit holds the learned statistics of one unit.
 type unit struct {
 	last time.Time
 	gaps [gapBuckets]float64 // decayed counts
@@ -41,17 +41,18 @@
 	seen    [dayParts]int64 // day on which the part was last updated
 	cost    placement.Cost
 	burst   float64 // mean number of requests that would wait for one load
-	inBurst int     // requests since the last gap longer than a load
+	inBurst int     // requests since the last gap that was longer than a load
 }
 
-// Policy learns and decides. It is not safe for concurrent use.
+// Policy learns the arrivals of units and decides how long their replicas stay loaded. It
+// is not safe for concurrent use.
 type Policy struct {
 	opt   Options
 	units map[string]*unit
 	start time.Time
 }
 
-// New returns a policy that has learned nothing.
+// New returns a policy without any observations.
 func New(opt Options) *Policy { return &Policy{opt: opt, units: map[string]*unit{}} }
 
 func (p *Policy) unit(name string) *unit {
@@ -82,9 +83,9 @@
 	}
 }
 
-// endBurst records a gap that was long enough to unload the unit in, and the
-// size of the burst before it. Gaps inside a burst tell nothing: no policy
-// would unload in them.
+// endBurst records a gap that was long enough to unload the unit, and the size of the burst
+// before it. Gaps inside a burst are not recorded, since no policy would unload the unit in
+// them.
 func (u *unit) endBurst(gap time.Duration) {
 	if u.last.IsZero() {
 		return
@@ -100,7 +101,7 @@
 	u.inBurst = 0
 }
 
-// decayDays lowers a part's probability for each day without an arrival.
+// decayDays reduces the probability of a part of the day for each day without an arrival.
 func (u *unit) decayDays(part int, day int64) {
 	if u.seen[part] == 0 {
 		return
@@ -122,9 +123,8 @@
 	return int(since % (24 * time.Hour) / partLength), int64(since/(24*time.Hour)) + 1
 }
 
-// IdleFor returns how long the unit's replica is kept after its last use: the
-// time that minimises the expected cost of idling plus cold starts over the
-// learned gaps.
+// IdleFor returns how long the unit's replica stays loaded after its last use: the time
+// that minimises the expected cost of idle time and cold starts over the learned gaps.
 func (p *Policy) IdleFor(name string, cost placement.Cost, now time.Time) time.Duration {
 	u := p.unit(name)
 	u.cost = cost
@@ -141,7 +141,7 @@
 	return min(max(best, p.opt.MinIdle), p.opt.MaxIdle)
 }
 
-// expected is the expected cost of one gap when the replica is kept for keep.
+// expectedCost returns the expected cost of one gap if the replica stays loaded for keep.
 // The prior spreads one observation evenly over the buckets.
 func (p *Policy) expected(u *unit, keep time.Duration) float64 {
 	idle, cold := p.opt.IdleWeight*u.cost.Share, p.coldCost(u)
@@ -159,14 +159,14 @@
 	return cost / total
 }
 
-// coldCost is the cost of one cold start: all requests of a burst wait.
+// coldCost returns the cost of one cold start, for which all requests of a burst wait.
 func (p *Policy) coldCost(u *unit) float64 {
 	return p.opt.ColdStartWeight * u.cost.Load.Seconds() * max(1, u.burst)
 }
 
-// Prewarm lists units to load before they are asked for: those whose next
-// part of the day has had arrivals on most days, where the saved cold start
-// outweighs the idle time.
+// Prewarm returns the units to load before requests for them arrive: units whose next part
+// of the day has had arrivals on most days, so that the saved cold start outweighs the idle
+// time.
 func (p *Policy) Prewarm(now time.Time) []string {
 	var list []string
 	for name, u := range p.units {
--- a/coordination/residency/adopt.go
+++ b/coordination/residency/adopt.go
@@ -7,8 +7,8 @@
 	"github.com/doorvalve/doorvalve/state/fleet"
 )
 
-// adoptEntry takes an engine's entry in the store. An entry does not say which
-// orders it knows of, so it counts only until a report has come.
+// adoptEntry updates an engine's state from its entry in the store. An entry does not state
+// which orders it includes, so it counts only until the first report.
 func (p *Planner) adoptEntry(now time.Time, w *worker) {
 	for _, m := range w.endpoint.OnDisk {
 		w.onDisk[m] = true
@@ -29,7 +29,8 @@
 	}
 }
 
-// adopt takes a report. One from before the last accepted order says nothing.
+// adopt updates an engine's state from a report. A report from before the last accepted
+// order is discarded.
 func (p *Planner) adopt(now time.Time, w *worker, rep Report) {
 	if w.known && rep.Sequence < w.sequence {
 		return
@@ -41,8 +42,8 @@
 			return
 		}
 	}
-	// What an engine will hold after an order that this planner has not given
-	// is not in the report; it becomes known when the engine is done.
+	// The report does not include the effect of an order from another planner. The state
+	// becomes known when the engine has completed that order.
 	foreign := rep.Busy && newer
 	w.sequence, w.known = rep.Sequence, !foreign
 	w.inMemory, w.onDisk = set(rep.InMemory), set(rep.OnDisk)
@@ -58,8 +59,8 @@
 		}
 	}
 	for name, r := range w.models {
-		// Without an accepted order between, only a report that is younger
-		// than the load tells that a model is not there.
+		// If no order was accepted since, only a report that is newer than the load proves
+		// that a model is not loaded.
 		if !seen[name] && (newer || !rep.Busy && now.After(r.readyAt.Add(reportLag))) {
 			delete(w.models, name)
 		}
@@ -67,7 +68,7 @@
 	adoptComing(now, w, rep.LoadingAdapters)
 }
 
-// adoptComing takes the adapters on their way, which hold their slots.
+// adoptLoading adds the adapters that are being loaded, which occupy their slots.
 func adoptComing(now time.Time, w *worker, coming []AdapterRef) {
 	for _, c := range coming {
 		r := w.models[c.Model]
@@ -81,8 +82,8 @@
 	}
 }
 
-// stillNamed reports whether a report names a model only because the unload
-// that this daemon has ordered is not done or not reported yet.
+// stillListed reports whether a report lists a model only because the unload that this
+// planner has ordered is not completed or not reported yet.
 func (w *worker) stillNamed(now time.Time, model string, busy bool) bool {
 	at, ok := w.unloaded[model]
 	if !ok {
@@ -111,19 +112,19 @@
 		}
 	}
 	for name, a := range r.adapters {
-		// A report that knows of every accepted order names each adapter, or
-		// has it on its way; one that was just ordered may be younger.
+		// A report that includes all accepted orders lists each adapter as loaded or being
+		// loaded. An adapter that was ordered just now may be newer than the report.
 		if !slices.Contains(m.Adapters, name) && (a.leaving || now.After(a.readyAt.Add(reportLag))) {
 			delete(r.adapters, name)
 		}
 	}
 }
 
-// adoptDuring looks whether a report tells how the order ended.
+// adoptDuringOrder checks whether a report shows how the order in progress ended.
 func (p *Planner) adoptDuring(now time.Time, w *worker, o *pending, rep Report) {
 	if rep.Sequence <= o.order.Expect {
 		if !o.answered && !o.unsureAt.IsZero() && now.After(o.unsureAt.Add(reportLag)) {
-			p.dropOrder(w) // not accepted so far; its expectation guards a repeat
+			p.dropOrder(w) // not accepted so far; Expect prevents a second execution
 		}
 		return
 	}
--- a/coordination/residency/bench_test.go
+++ b/coordination/residency/bench_test.go
@@ -6,8 +6,7 @@
 	"time"
 )
 
-// bigWorld is a service of the size that the users plan for next: 90 engines,
-// 480 models.
+// bigCluster is a service of the size that users plan for next: 90 engines, 480 models.
 func bigWorld() *world {
 	w := newWorld(480, 90)
 	for i := 270; i < 480; i++ {
@@ -56,14 +55,15 @@
 	}
 }
 
-// A schedule at the size planned for next derives the engines' state once: it
-// used to grow with the product of wanted models, engines and daemons.
+// A schedule for a service of bigCluster's size derives the state of each engine only once.
+// The cost of a schedule grew with the product of wanted models, engines and daemons
+// before.
 func TestScheduleStaysCheap(t *testing.T) {
 	w := bigWorld()
 	for i := 300; i < 330; i++ {
 		w.p.Want(w.now, Want{Model: fmt.Sprintf("m%02d", i)})
 	}
-	const most = 800 // some for each engine and each wanted model
+	const most = 800 // a few for each engine and each wanted model
 	if n := testing.AllocsPerRun(5, func() { w.p.schedule(w.p.newDraft(w.now)) }); n > most {
 		t.Fatalf("%v allocations for one schedule", n)
 	}
--- a/coordination/residency/draft.go
+++ b/coordination/residency/draft.go
@@ -6,36 +6,36 @@
 	"time"
 )
 
-// draft is what one step derives from the planner's state, once, and changes
-// as it decides.
+// draft is the state that one planning step derives from the planner once and updates as it
+// decides.
 type draft struct {
 	now      time.Time
-	active   map[string]int // requests running or waiting, by model
+	active   map[string]int // running and waiting requests, by model
 	running  map[Place]int
-	replicas map[string]int       // of each model, less those that are making way
-	ready    map[string]readiness // of models that are loaded
-	pressed  map[string]int       // replicas that a model's slow answers ask for
-	runTime  time.Duration        // of a request, on average
-	// perReplica is the number of running requests that one replica is meant to carry.
+	replicas map[string]int       // of each model, without those being unloaded
+	ready    map[string]readiness // loaded models
+	pressed  map[string]int       // replicas needed because of slow answers, by model
+	runTime  time.Duration        // mean duration of a request
+	// perReplica is the number of running requests that one replica should serve.
 	perReplica float64
 	engines    map[*worker]*engineDraft
-	store      []time.Duration // when each place of the store is free
+	store      []time.Duration // time until each of the store's concurrent loads ends; zero for unused ones
 	// storeLoads is the number of loads from the store in progress.
 	storeLoads int
 }
 
-// engineDraft is the part of a draft for one engine.
+// engineDraft is the part of a draft that concerns one engine.
 type engineDraft struct {
-	freeIn   time.Duration // until it has done what is ahead
-	reserved float64       // memory of loads ahead, in MB
-	memory   float64       // that its models and adapters take, in MB
-	inUse    int           // models that requests run on or wait for
+	freeIn   time.Duration // time until its scheduled work is done
+	reserved float64       // memory of scheduled loads, in MB
+	memory   float64       // occupied by its models and adapters, in MB
+	inUse    int           // models with running or waiting requests
 	victims  []victim
-	derived  bool // victims have been found
+	derived  bool // victims has been computed
 }
 
-// newDraft returns the draft of a step. It takes the maps of the last one, which
-// is not used any more: a step comes some tens of times a second.
+// newDraft returns the draft of a planning step. It reuses the maps of the previous draft,
+// which is no longer in use, because there are some tens of steps a second.
 func (p *Planner) newDraft(now time.Time) *draft {
 	d := &p.draft
 	d.reset(now)
@@ -71,15 +71,15 @@
 	d.now, d.store, d.storeLoads = now, d.store[:0], 0
 }
 
-// perReplica returns the number of running requests that one replica is meant to carry.
+// perReplica returns the number of running requests that one replica should serve.
 func (p *Planner) perReplica() float64 { return max(1, replicaShare*float64(p.conf.Engine.Slots)) }
 
-// needed is the number of replicas that a model's requests ask for.
+// needed returns the number of replicas that the requests of a model need.
 func (d *draft) needed(model string) int {
 	return max(needed(d.active[model], d.perReplica), d.pressed[model])
 }
 
-// sumDemand adds up what the daemons said lately.
+// sumDemand adds up the valid demand reports of all daemons and drops expired ones.
 func (p *Planner) sumDemand(d *draft) {
 	for daemon, said := range p.demands {
 		if d.now.Sub(said.at) > demandLife {
@@ -95,7 +95,8 @@
 	}
 }
 
-// countRunning counts what runs at each engine; adapters count for their model.
+// countRunning counts the running requests of each engine; requests for an adapter count
+// for its model.
 func (p *Planner) countRunning(d *draft) {
 	for _, w := range p.sorted {
 		w.running = 0
@@ -103,7 +104,7 @@
 	p.countRunningOf(d.running, 1)
 }
 
-// countReplicas counts an engine's models, also those on their way.
+// countReplicas counts the models of an engine, including those that are being loaded.
 func (p *Planner) countReplicas(d *draft, w *worker) {
 	if !w.usable() || w.isFull(d.now) {
 		return
@@ -119,7 +120,8 @@
 	}
 }
 
-// readiness is how many engines hold a model, and since when the newest does.
+// readiness holds how many engines have a model loaded, and when the newest of them was
+// ready.
 type readiness struct {
 	replicas int
 	since    time.Time
@@ -136,19 +138,19 @@
 }
 
 const (
-	// runTimeUnknown is how long a request is taken to run while nothing is
-	// known; leastRunTime and mostRunTime bound what is derived from few.
+	// defaultRunTime is the assumed duration of a request while nothing is known;
+	// minRunTime and maxRunTime limit the estimate from a few requests.
 	runTimeUnknown = time.Second
 	leastRunTime   = 200 * time.Millisecond
 	mostRunTime    = 6 * time.Second
 )
 
-// meanRunTime returns how long requests run, by Little's law: those that run,
-// over those that begin a second.
+// meanRunTime returns the mean duration of a request by Little's law: the number of running
+// requests divided by the requests started per second.
 func (p *Planner) meanRunTime(d *draft) time.Duration {
 	running, rate := 0, 0.0
 	for place, n := range d.running {
-		if !strings.Contains(place.Model, "/") { // adapters count for their model
+		if !strings.Contains(place.Model, "/") { // requests for an adapter count for its model
 			running += n
 		}
 	}
@@ -161,10 +163,11 @@
 	return min(mostRunTime, max(leastRunTime, time.Duration(float64(running)/rate*float64(time.Second))))
 }
 
-// endedAfter is how long after daemons told last that a model runs it counts as idle: a
-// daemon that has just been served there may send another request without a question.
+// idleAfterRun is how long after the last report of a running request a model counts as
+// idle. Until then, a daemon whose request was just served there may send another one
+// without a Want call.
 const endedAfter = tellLeast + idleMargin
 
-// idleAfter is how long after it was named for a request a model counts as idle,
-// unless daemons say that requests run.
+// idleAfterAnswer returns how long after an answer directed a request to a model the model
+// counts as idle, unless daemons report running requests.
 func (p *Planner) idleAfter() time.Duration { return DemandDelay(len(p.demands)) + idleMargin }
--- a/coordination/residency/engine_test.go
+++ b/coordination/residency/engine_test.go
@@ -9,7 +9,7 @@
 	"github.com/doorvalve/doorvalve/state/storeversion"
 )
 
-// simEngine is an engine as the platform's pages describe it, in virtual time.
+// simEngine simulates an engine of the platform in virtual time.
 type simEngine struct {
 	conf     *routing.Engine
 	endpoint *fleet.Endpoint
@@ -17,30 +17,33 @@
 	models   map[string][]string // loaded, with adapters
 	onDisk   map[string]bool
 	busy     bool
-	// unloadTime is how long an unload takes where nothing runs; zero: 10 ms.
+	// unloadTime is the duration of an unload if no request of the model runs; zero means
+	// 10 ms.
 	unloadTime time.Duration
-	// fromStore says that the order in progress is a load from the store.
+	// fromStore reports whether the order in progress is a load from the store.
 	fromStore bool
 	doneAt    time.Time
 	during    Order
-	runsEnd   time.Time // unloads wait for it
-	// runsUntil is when the runs of a model end, which its unload waits for; nil: none.
+	runsEnd   time.Time // unloads are not complete before
+	// runsUntil returns when the running requests of a model end, which its unload waits
+	// for; nil means that none run.
 	runsUntil func(model string) time.Time
-	// coming are adapters on their way, and leaving ones that requests still
-	// use, with the time at which they are there or gone.
+	// coming holds the adapters that are being loaded, and leaving those that requests
+	// still use after their unload, with the time at which the load or unload is complete.
 	coming, leaving map[AdapterRef]time.Time
-	// adapterTime is how long an adapter takes to come.
+	// adapterTime is the load time of an adapter.
 	adapterTime time.Duration
-	// overloaded is set when the engine was ordered beyond its memory or
-	// adapter slots, which crashes it.
+	// overloaded is set when the engine received an order beyond its memory or adapter
+	// slots, which crashes a real engine.
 	overloaded bool
-	history    []simState // for reports that lag
+	history    []simState // for delayed reports
 }
 
-// firstBorn is the start of the engines that have not started again, long ago.
+// initialBorn is the start time of engines that have not been restarted; it lies far in the
+// past.
 var firstBorn = start.Add(-time.Hour).UnixMilli()
 
-// life names an engine whose starts are not told apart.
+// incarnation returns an incarnation of an engine whose start time is unknown.
 func life(id string) fleet.Incarnation { return fleet.Incarnation{ID: id} }
 
 type simState struct {
@@ -82,8 +85,8 @@
 	return sum
 }
 
-// restart ends the engine's life and begins the next under the same id: it holds
-// nothing but its disk, and counts orders anew.
+// restart starts a new incarnation of the engine under the same id: it keeps only its disk,
+// and counts orders from zero.
 func (e *simEngine) restart(now time.Time) {
 	next := newSimEngine(e.conf, e.endpoint.ID)
 	next.onDisk, next.adapterTime = e.onDisk, e.adapterTime
@@ -134,7 +137,7 @@
 	}})
 }
 
-// report returns the state of a while ago.
+// report returns the engine's state as of lag before now.
 func (e *simEngine) report(now time.Time, lag time.Duration) Report {
 	r := e.history[0].report
 	for _, s := range e.history {
@@ -146,7 +149,7 @@
 	return r
 }
 
-// order takes an order.
+// order executes an order if the engine accepts it.
 func (e *simEngine) order(now time.Time, o Order) Outcome {
 	_, holds := e.models[o.Model]
 	switch {
--- a/coordination/residency/limits.go
+++ b/coordination/residency/limits.go
@@ -7,18 +7,19 @@
 	"github.com/doorvalve/doorvalve/state/fleet"
 )
 
-// fullFor is how long an engine counts as one without room within its limit after a daemon has
-// said so: as long as requests that are refused there take to come again, so that the model's
-// next replica is ordered while they do.
+// fullFor is how long an engine counts as full under its rate limit after a daemon reported
+// that. It is as long as rejected requests take to be retried, so that the model's next
+// replica is ordered in the meantime.
 const fullFor = 1500 * time.Millisecond
 
-// limitedLife is the limit that one life of an engine names.
+// incarnationLimit is the rate limit that one incarnation of an engine reports.
 type limitedLife struct {
 	life fleet.Incarnation
 	word limit.Report
 }
 
-// Limited takes the limit that an engine names, or that it names none any more.
+// SetLimit sets the rate limit that an engine reports, or removes it if the engine no
+// longer reports one.
 func (p *Planner) SetLimit(life fleet.Incarnation, w limit.Report) {
 	if w.Limited {
 		p.limits[life.ID] = limitedLife{life, w}
@@ -32,8 +33,9 @@
 	}
 }
 
-// full takes a daemon's word that engines have no room within their limits. Their replicas do
-// not count while that lasts: another one is loaded where one is worth it.
+// markFull records that engines have no capacity left under their rate limits, as reported
+// by a daemon. Their replicas do not count during that time, so that another one is loaded
+// if it is worth it.
 func (p *Planner) full(now time.Time, lives []fleet.Incarnation) {
 	for _, life := range lives {
 		if w := p.workerOf(life); w != nil {
@@ -44,8 +46,8 @@
 
 func (w *worker) isFull(now time.Time) bool { return now.Before(w.fullUntil) }
 
-// capacity returns how many requests an engine works on at once: as it declares, or less under
-// its limit.
+// capacity returns how many requests an engine can process at once: the declared number of
+// slots, or less under its rate limit.
 func (p *Planner) capacity(w *worker) int {
 	declared := max(1, w.endpoint.Slots)
 	if l, limited := p.limits[w.life.ID]; limited && l.life.Matches(w.life) {
--- a/coordination/residency/limits_test.go
+++ b/coordination/residency/limits_test.go
@@ -8,15 +8,15 @@
 	"github.com/doorvalve/doorvalve/state/fleet"
 )
 
-// The only holder of a model takes no more requests now, by its own word, and daemons say so as
-// long as they have requests for the model: another engine loads it. Once the limit has ended the
-// first holder counts again.
+// The only holder of a model reports a rate limit and has no capacity left, and daemons say
+// so as long as they have requests for the model: another engine loads the model. Once the
+// limit has ended, the first holder counts again.
 func TestModelOfAnEngineWithoutRoomIsLoadedElsewhere(t *testing.T) {
 	w := newSlottedWorld(9, 3)
 	want := Want{Model: "m00", Full: []fleet.Incarnation{life("e0")}}
 	w.p.SetLimit(life("e0"), limit.Report{Rate: 1, Limited: true})
 	if a := w.p.Want(w.now, want); a.Endpoint.ID == "e0" || a.Refused != "" || a.ReadyIn == 0 {
-		t.Fatalf("with its holder full: %+v", a)
+		t.Fatalf("Want with the only holder full: %+v, want a load at another engine", a)
 	}
 	for range 100 {
 		w.p.ReceiveDemand(w.now, "d", Demand{Active: map[string]int{"m00": 2}, Running: map[Place]int{{Endpoint: life("e0"), Model: "m00"}: 1}})
@@ -24,19 +24,19 @@
 		w.run(100 * time.Millisecond)
 	}
 	if n := w.holders("m00"); n != 2 {
-		t.Fatalf("%d engines hold the model after 10 s", n)
+		t.Fatalf("%d engines hold the model after 10 s, want 2", n)
 	}
 	if a := w.p.Want(w.now, want); a.Endpoint.ID == "e0" || a.ReadyIn != 0 {
-		t.Fatalf("the second holder is there: %+v", a)
+		t.Fatalf("Want with a second holder: %+v, want the second holder at once", a)
 	}
 	w.p.SetLimit(life("e0"), limit.Report{})
 	if w.p.workerOf(life("e0")).isFull(w.now) {
-		t.Fatal("full after the end of its limit")
+		t.Fatal("engine still counts as full after the end of its limit")
 	}
 	w.check(t)
 }
 
-// newSlottedWorld is a world whose engines work on 64 requests at once.
+// newSlottedCluster returns a cluster whose engines process 64 requests at once.
 func newSlottedWorld(models, engines int) *world {
 	w := newWorld(models, engines)
 	for _, e := range w.engines {
@@ -47,7 +47,7 @@
 	return w
 }
 
-// Without room at any engine a request is told so, and none is ordered beyond what it holds.
+// When no engine has capacity left, no engine is ordered to load more than it can hold.
 func TestAllHoldersWithoutRoom(t *testing.T) {
 	w := newWorld(9, 3)
 	w.run(time.Second)
@@ -65,20 +65,20 @@
 	w.check(t)
 }
 
-// An engine under a limit counts as full with fewer requests.
+// An engine under a rate limit counts as full with fewer requests.
 func TestLimitIsTheEnginesCapacity(t *testing.T) {
 	w := newSlottedWorld(6, 2)
 	worker := w.p.workerOf(life("e0"))
 	if n := w.p.capacity(worker); n != 64 {
-		t.Fatalf("%d slots without a limit", n)
+		t.Fatalf("capacity without a limit: %d slots, want 64", n)
 	}
 	w.p.SetLimit(life("e0"), limit.Report{Rate: 2, Limited: true})
 	if n := w.p.capacity(worker); n != 2 {
-		t.Fatalf("%d slots at 2 a second that run a second each", n)
+		t.Fatalf("capacity at 2 requests a second of 1 s each: %d slots, want 2", n)
 	}
 	w.p.sentTo(w.now, worker, "d")
 	w.p.sentTo(w.now, worker, "d")
 	if d := w.p.startsIn(worker); d <= 0 {
-		t.Fatal("a third request would begin at once")
+		t.Fatal("third request would start at once, want a wait for a slot")
 	}
 }
--- a/coordination/residency/lives.go
+++ b/coordination/residency/lives.go
@@ -9,16 +9,16 @@
 	"github.com/doorvalve/doorvalve/state/routing"
 )
 
-// lateOrder is an order without an answer: the engine may carry it out seconds
-// later, also in its next life, which counts orders from zero again and so comes by
-// the count that the order expects.
+// lateOrder is an unanswered order. The engine may carry it out seconds later, also in its
+// next incarnation: that one counts orders from zero again and so can reach the count that
+// the order expects.
 type lateOrder struct {
 	order Order
-	until time.Time // it cannot come any more
+	until time.Time // the order cannot arrive any later
 }
 
-// unplanned returns the memory, in MB, that the effect of an order to an earlier life
-// would need beside all that was planned for this one.
+// unplannedMemory returns the memory, in MB, that the effect of an order to an earlier
+// incarnation would need in addition to everything planned for this one.
 func (w *worker) unplanned(l lateOrder, engine *routing.Engine) float64 {
 	m := engine.Models[l.order.Model]
 	switch {
@@ -30,8 +30,8 @@
 	return m.SizeMB
 }
 
-// noteLate takes the outcome of an order: without an answer it may come late, and one
-// that was decided on for an earlier life and accepted may be this life's.
+// recordLate processes the outcome of an order: an unanswered one may arrive late, and one
+// that was sent to an earlier incarnation and accepted may have been accepted by this one.
 func (w *worker) noteLate(now time.Time, o Order, outcome Outcome) {
 	w.late = slices.DeleteFunc(w.late, func(l lateOrder) bool { return l.order == o })
 	if outcome == Unanswered || outcome == Accepted && !o.Endpoint.Matches(w.life) {
@@ -39,14 +39,15 @@
 	}
 }
 
-// mayComeLate remembers an order that the engine may still carry out.
+// addLateOrder records an order that the engine may still carry out.
 func (w *worker) mayComeLate(now time.Time, o Order) {
 	w.late = append(w.late, lateOrder{o, now.Add(lateOrderLife)})
 }
 
-// forgetLate drops the late orders that can have no effect any more: their time is
-// over, or this life has counted beyond what they expect. One of this same life is kept
-// for its time, since the next life may count up to it.
+// pruneLate drops late orders that can have no effect any more: those whose time has
+// passed, and those whose expected count this incarnation has exceeded. An order to this
+// same incarnation is kept until its time has passed, since the next incarnation may reach
+// the expected count.
 func (w *worker) forgetLate(now time.Time) {
 	w.late = slices.DeleteFunc(w.late, func(l lateOrder) bool {
 		counted := w.known && w.sequence > l.order.Expect && !l.order.Endpoint.Matches(w.life)
@@ -54,13 +55,15 @@
 	})
 }
 
-// clockSlack is by how much an engine's clock may be ahead of this host's, beside a jump.
+// clockSlack is how far an engine's clock may be ahead of this host's, apart from clock
+// jumps.
 const clockSlack = time.Second
 
-// mayHaveUnknownLate reports whether an order of a former coordinator may still come to
-// an engine that has started since it was sent. An engine that holds more than it was ever
-// ordered to load has not started again: those begin empty. Keeping a model's memory free
-// takes a place of three, so it is not done for any that may be old enough.
+// mayHaveUnknownLate reports whether an order of a former coordinator may still arrive at
+// an engine that has started since the order was sent. An engine that holds more models
+// than it was ever ordered to load has not restarted, because engines restart empty.
+// Keeping the memory for one model free costs an engine that holds three models a third of
+// its room, so it is done only for engines that may have started recently enough.
 func (p *Planner) mayHaveUnknownLate(now time.Time, w *worker) bool {
 	if p.lease.First || w.life.StartUnixMs == 0 || now.Sub(p.tookOver) >= lateOrderLife || uint64(len(w.models)) > w.sequence {
 		return false
@@ -68,9 +71,10 @@
 	return now.Sub(time.UnixMilli(w.life.StartUnixMs)) < lateOrderLife+clockSlack
 }
 
-// reborn replaces what is believed of an engine by what is known of its next life:
-// nothing, but for the copies on its disk, which its first report confirms, and for
-// orders of the life before that may still come. No order is sent before that report.
+// replaceIncarnation replaces an engine's state by that of its next incarnation. Only two
+// things are carried over: the copies on its disk, which its first report confirms, and the
+// orders to the previous incarnation that may still arrive. No order is sent before that
+// report.
 func (p *Planner) reborn(now time.Time, w *worker, life fleet.Incarnation) *worker {
 	next := newWorker(now, life)
 	next.endpoint, next.onDisk = w.endpoint, maps.Clone(w.onDisk)
@@ -83,8 +87,8 @@
 	return next
 }
 
-// rebornUnlisted does so before the store tells of the new life: the report came from
-// the address that the last entry names.
+// replaceUnlistedIncarnation does the same before the store lists the new incarnation. The
+// report came from the address in the last entry.
 func (p *Planner) rebornUnlisted(now time.Time, w *worker, life fleet.Incarnation) *worker {
 	next := p.reborn(now, w, life)
 	entry := *w.endpoint
@@ -94,8 +98,8 @@
 	return next
 }
 
-// workerOf returns the engine of an incarnation; nil if it is unknown or lives
-// another life.
+// engineOf returns the engine of an incarnation, or nil if it is unknown or has a different
+// incarnation.
 func (p *Planner) workerOf(life fleet.Incarnation) *worker {
 	if w := p.workers[life.ID]; w != nil && w.life.Matches(life) {
 		return w
@@ -103,8 +107,8 @@
 	return nil
 }
 
-// ofPresentLives leaves out what runs at earlier lives of engines, and names the
-// others by the lives that are known here.
+// ofCurrentIncarnations drops requests that run at earlier incarnations of engines, and
+// maps the others to the incarnations that are known here.
 func (p *Planner) ofPresentLives(running map[Place]int) map[Place]int {
 	out := make(map[Place]int, len(running))
 	for place, n := range running {
--- a/coordination/residency/lives_test.go
+++ b/coordination/residency/lives_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// load wants models one after the other, each until it is there.
+// loadModels requests models one after the other, each until it is loaded.
 func (w *world) load(t *testing.T, e *simEngine, models ...string) {
 	t.Helper()
 	for _, m := range models {
@@ -22,14 +22,15 @@
 	}
 }
 
-// An order without an answer may be carried out seconds later, in the next life of its
-// engine, which has counted up to what the order expects and was filled meanwhile.
+// An unanswered order may be carried out seconds later, by the next incarnation of its
+// engine: that one has accepted as many orders as the late order expects and has loaded
+// other models in the meantime.
 func TestLateOrderOfAnEarlierLifeFindsRoom(t *testing.T) {
 	for _, successor := range []bool{false, true} {
 		w := newWorld(0, 1)
 		w.conf.Models = testEngine(4).Models
 		w.fence = 0
-		w.takeOver() // as the first of all coordinators
+		w.takeOver() // as the first coordinator of the service
 		e := w.engines[0]
 		e.onDisk = map[string]bool{"m00": true, "m01": true, "m02": true, "m03": true}
 		w.load(t, e, "m00", "m01")
@@ -44,7 +45,7 @@
 			w.step()
 		}
 		if len(w.late) == 0 {
-			t.Fatal("no order is on its way")
+			t.Fatal("no late order is pending")
 		}
 		w.chance = nil
 		e.restart(w.now)
@@ -62,8 +63,9 @@
 	}
 }
 
-// A life that the coordinator has not heard of holds nothing of what the one before
-// held, and takes orders as soon as it has reported; an older report changes nothing.
+// An incarnation that the coordinator did not know of holds none of the models of its
+// predecessor, and gets orders as soon as it has reported. A report of the predecessor that
+// arrives later changes nothing.
 func TestNextLifeIsKnownByItsReport(t *testing.T) {
 	for _, listed := range []bool{true, false} {
 		w := newWorld(6, 2)
@@ -75,21 +77,22 @@
 		if listed {
 			w.entries()
 		} else {
-			w.p.workers["e0"].probe = w.now // as when a request has found it gone
+			w.p.workers["e0"].probe = w.now // as if a request had found the engine unreachable
 		}
 		w.run(500 * time.Millisecond)
 		w.p.ReceiveReport(w.now, old)
 		if a := w.p.Want(w.now, Want{Model: "m00"}); a.Level == Resident {
-			t.Fatalf("listed %v: the model of the life before is named: %+v", listed, a)
+			t.Fatalf("listed %v: answer uses a model of the previous incarnation: %+v", listed, a)
 		}
 		w.run(1500 * time.Millisecond)
 		if _, ok := e.models["m00"]; !ok {
-			t.Fatalf("listed %v: the model was not brought back from the disk: %v", listed, e.loaded())
+			t.Fatalf("listed %v: the model was not loaded from disk: %v", listed, e.loaded())
 		}
 	}
 }
 
-// What runs at an earlier life of an engine keeps nothing of the next one in place.
+// Requests at an earlier incarnation of an engine do not keep models of the present
+// incarnation loaded.
 func TestDemandOfAnEarlierLifeDoesNotCount(t *testing.T) {
 	w := newWorld(3, 1)
 	e := w.engines[0]
@@ -99,17 +102,17 @@
 	w.entries()
 	w.p.ReceiveDemand(w.now, "d", Demand{Active: map[string]int{"m00": 1}, Running: map[Place]int{{before, "m00"}: 1}})
 	if n := len(w.p.demands["d"].Running); n != 0 {
-		t.Fatalf("%d places of the life before count", n)
+		t.Fatalf("%d places of the previous incarnation count, want 0", n)
 	}
 	w.p.ReceiveDemand(w.now, "d", Demand{Running: map[Place]int{{life("e0"), "m00"}: 1}})
 	if w.p.demands["d"].Running[Place{e.endpoint.Incarnation(), "m00"}] != 1 {
-		t.Fatal("a daemon that tells no start speaks of the present life")
+		t.Fatal("demand without a start time does not count for the present incarnation")
 	}
 }
 
-// A new coordinator keeps a place free only at engines that may have started since an
-// order of the former one: not at those that hold what nobody has ordered, nor at those that
-// have run for longer than an order may be on its way.
+// A new coordinator keeps memory free only at engines that may have started after an order
+// of its predecessor was sent. It does so neither at engines that hold models which nobody
+// has ordered, nor at engines that have run for longer than an order may be delayed.
 func TestPlacesAreKeptFreeOnlyAfterARestart(t *testing.T) {
 	for _, c := range []struct {
 		what     string
@@ -117,9 +120,9 @@
 		sequence uint64
 		want     bool
 	}{
-		{"started again", 5 * time.Second, 3, true},
-		{"as it was first started", 5 * time.Second, 2, false},
-		{"has run for long", 20 * time.Second, 3, false},
+		{"restarted", 5 * time.Second, 3, true},
+		{"never restarted", 5 * time.Second, 2, false},
+		{"running for long", 20 * time.Second, 3, false},
 	} {
 		w := newWorld(3, 1)
 		e := w.engines[0]
@@ -128,7 +131,7 @@
 		w.takeOver()
 		w.run(400 * time.Millisecond)
 		if got := w.p.workers["e0"].unknownLate; got != c.want {
-			t.Errorf("%s: place kept free %v, want %v", c.what, got, c.want)
+			t.Errorf("%s: memory kept free: %v, want %v", c.what, got, c.want)
 		}
 	}
 }
--- a/coordination/residency/load_test.go
+++ b/coordination/residency/load_test.go
@@ -6,9 +6,10 @@
 	"time"
 )
 
-// Load: models come and go at full engines, each swap an unload and a load. An engine that
-// is still unloading refuses the next order, and nothing else tells when it is done: with
-// orders as soon as the unload was accepted, half of the loads were refused once.
+// Load: models are replaced constantly at full engines, each time by an unload and a load.
+// An engine that is still unloading refuses the next order, and nothing but such a refusal
+// shows that the unload is incomplete. When orders were sent as soon as the unload had been
+// accepted, half of the loads were refused.
 func TestSwapsWaitForTheUnload(t *testing.T) {
 	for _, takes := range []time.Duration{10 * time.Millisecond, 70 * time.Millisecond, 150 * time.Millisecond} {
 		w := newWorld(12, 2)
@@ -29,15 +30,15 @@
 	}
 }
 
-// Load: many rare models are asked for at once. Every place of every engine is
-// in use by a single short request, so that nothing can make way at this
-// moment, and each model has one copy near. A load from the weight store would
-// keep its engine from all else for 6 s, so that the models whose copy lies
-// there are loaded from the store too, and so on. Figures: the new customer's
-// nights, 13.5 requests a second over 45 models and 18 places, 0.6 s each.
+// Load: many rare models are requested at once. Every model at every engine is in use by a
+// single short request, so that none can be unloaded at this moment, and each requested
+// model has one nearby copy. A load from the weight store would block its engine for 6 s,
+// so that models whose copy lies on that engine would have to be loaded from the store too,
+// and so on. The load corresponds to 13.5 requests a second for 45 models, with room for 18
+// and 0.6 s per request.
 func TestNearCopyIsWaitedForBehindShortRequests(t *testing.T) {
 	const models = 36
-	w := newWorld(models, 6) // holds m00 to m17
+	w := newWorld(models, 6) // with m00 to m17 loaded
 	for i := 18; i < models; i++ {
 		w.engines[i%6].onDisk[fmt.Sprintf("m%02d", i)] = true
 	}
@@ -71,12 +72,12 @@
 		}
 	}
 	if fromStore > 0 {
-		t.Errorf("%d loads from the store, though each model had a copy near", fromStore)
+		t.Errorf("%d loads from the store, although each model had a nearby copy", fromStore)
 	}
 	w.check(t)
 }
 
-// A busy model is not expected to fall idle: what needs its place goes elsewhere.
+// A busy model is not expected to become idle, so a request for another model is refused.
 func TestBusyModelIsNotWaitedFor(t *testing.T) {
 	w := newWorld(4, 1)
 	w.engines[0].onDisk["m03"] = true
@@ -87,13 +88,12 @@
 	}
 	w.p.ReceiveDemand(w.now, "d", d)
 	if a := w.p.Want(w.now, Want{Model: "m03"}); a.Refused != RefusedNoRoom {
-		t.Fatalf("%+v, want a refusal", a)
+		t.Fatalf("%+v, want a refusal for lack of room", a)
 	}
 }
 
-// Load: more rare models than places, one short request each. The place of a
-// request that has ended is free for the next model as soon as a daemon has
-// said so.
+// Load: more rare models than the engine has room for, one short request each. A model is
+// replaced by the next one as soon as its daemon has reported the end of its request.
 func TestEndedRequestFreesItsPlaceSoon(t *testing.T) {
 	w := newWorld(4, 1)
 	w.engines[0].onDisk["m03"] = true
@@ -109,32 +109,32 @@
 	w.p.ReceiveDemand(w.now, "d", Demand{})
 	w.run(150 * time.Millisecond)
 	if !w.engines[0].busy || w.engines[0].during.Model != "m03" {
-		t.Fatal("the place is not taken 150 ms after its request has ended")
+		t.Fatal("m03 is not being loaded 150 ms after the request has ended")
 	}
 }
 
-// Load: all daemons tell at every change. A coordinator gets no more of that than
-// a small host can take, however many they are, and does not take a model for
-// idle before they have had the time to tell that it runs.
+// Load: all daemons report every change. The coordinator receives no more reports than a
+// small host can process, however many daemons there are, and does not take a model for
+// idle before the daemons had time to report that it runs requests.
 func TestTellsAreBounded(t *testing.T) {
 	w := newWorld(3, 1)
 	for n := 1; n <= 400; n++ {
 		w.p.ReceiveDemand(w.now, fmt.Sprint("d", n), Demand{})
 		soon := DemandDelay(n)
 		if perSecond := float64(n) / soon.Seconds(); perSecond > tellsMost+1 {
-			t.Fatalf("%d daemons tell %.0f times a second", n, perSecond)
+			t.Fatalf("%d daemons send %.0f reports a second", n, perSecond)
 		}
 		if idle := w.p.idleAfter(); idle <= soon {
-			t.Fatalf("%d daemons tell after %v, a model is idle after %v", n, soon, idle)
+			t.Fatalf("%d daemons report after %v, but a model counts as idle after %v", n, soon, idle)
 		}
 	}
 }
 
-// Load: a burst on more rare models than all engines hold together. Those that
-// the schedule has no place for are told when the first engine will have done
-// what is ahead of it, not to ask again at once.
+// Load: a burst of requests for more rare models than all engines hold together. Requests
+// for models that are not in the schedule are given the time at which the first engine will
+// have finished its scheduled work, rather than being asked to retry at once.
 func TestNoRoomNamesATime(t *testing.T) {
-	w := newWorld(30, 2) // six places
+	w := newWorld(30, 2) // room for six models
 	for i := 6; i < 30; i++ {
 		w.engines[i%2].onDisk[fmt.Sprintf("m%02d", i)] = true
 	}
@@ -144,6 +144,6 @@
 		last = w.p.Want(w.now, Want{Model: fmt.Sprintf("m%02d", i)})
 	}
 	if last.Refused != RefusedNoRoom || last.ReadyIn < 2*time.Second || last.ReadyIn > 6*time.Second {
-		t.Fatalf("%+v, want some seconds: three loads of 0.8 s are ahead at each engine", last)
+		t.Fatalf("%+v, want 2 s to 6 s: three loads of 0.8 s are scheduled at each engine", last)
 	}
 }
--- a/coordination/residency/outcome.go
+++ b/coordination/residency/outcome.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// endOrder records that the engine has completed its order.
+// completeOrder records that the engine has completed its order.
 func (p *Planner) endOrder(now time.Time, w *worker) {
 	o := w.order
 	w.order = nil
@@ -26,7 +26,7 @@
 	w.onDisk[o.order.Model] = true
 }
 
-// dropOrder forgets an order that has had no effect.
+// dropOrder discards an order that has had no effect.
 func (p *Planner) dropOrder(w *worker) {
 	o := w.order
 	w.order = nil
@@ -46,7 +46,7 @@
 	}
 }
 
-// Ordered takes the outcome of an order.
+// ObserveOutcome records the outcome of an order.
 func (p *Planner) ObserveOutcome(now time.Time, order Order, outcome Outcome) {
 	w := p.workers[order.Endpoint.ID]
 	if w == nil {
@@ -66,12 +66,12 @@
 		p.accepted(now, w)
 	case AlreadyDone:
 		if w.order.order.Adapter != "" && w.order.order.Unload {
-			p.accepted(now, w) // an unused adapter is unloaded at once
+			p.accepted(now, w) // an unused adapter is unloaded immediately
 			return
 		}
 		w.order.endsAt = now
 		p.endOrder(now, w)
-		// Whether an order that already held was counted is not certain.
+		// It is not certain whether the engine counted the order.
 		w.known, w.probe = false, now.Add(reportLag)
 	case Busy:
 		p.dropOrder(w)
@@ -92,17 +92,19 @@
 }
 
 const (
-	// unloadMost bounds how long an engine is taken to carry out an unload of a model that
-	// nothing runs on. It is learned from nothing: no report tells when an unload is done,
-	// only the answer to the next order.
+	// maxUnloadTime limits the estimate of how long an engine takes to unload a model
+	// without running requests. The estimate can only be learned from the answer to the
+	// next order, since no report shows when an unload is complete.
 	unloadMost = 400 * time.Millisecond
-	// unloadStep moves the estimate, and unloadRefused is the part of the orders after an
-	// unload that may find it not done: each costs a call and the pause after it.
+	// unloadStep is the step by which the estimate changes. unloadBusyShare is the target
+	// share of orders after an unload that find it incomplete: each of them costs a call
+	// and the delay after it.
 	unloadStep    = 20 * time.Millisecond
 	unloadRefused = 0.05
 )
 
-// learnUnload learns from the first order after an unload whether it came too soon.
+// learnUnload updates the estimate of the unload time from the first order after an unload:
+// a busy engine shows that the order was sent too early.
 func (p *Planner) learnUnload(w *worker, outcome Outcome) {
 	if !w.afterUnload {
 		return
@@ -117,8 +119,8 @@
 	p.unloadTakes = min(unloadMost, max(0, p.unloadTakes))
 }
 
-// adapterLeaves records an accepted unload of an adapter that requests still
-// use: its slot is free when a report does not name it any more.
+// adapterUnloadAccepted records the accepted unload of an adapter that requests still use.
+// Its slot is free once a report no longer lists it.
 func (p *Planner) adapterLeaves(now time.Time, w *worker) {
 	o := w.order.order
 	w.order, w.refused = nil, 0
@@ -129,7 +131,7 @@
 	}
 }
 
-// countStart counts a load from the store that has begun, or may have.
+// countStart counts a load from the store that has started or may have started.
 func (p *Planner) countStart(now time.Time, o *pending) {
 	if o.loadsFromStore() {
 		p.starts = append(p.starts, now)
@@ -144,8 +146,8 @@
 	w.sequence = o.order.Expect + 1
 	switch {
 	case o.order.Adapter != "", o.order.Unload:
-		// The engine is not busy with an adapter; whether an unload is done
-		// the next order tells by its answer.
+		// Loading an adapter does not make the engine busy. Whether an unload is complete
+		// shows in the answer to the next order.
 		p.endOrder(now, w)
 	default:
 		o.store.began = now
@@ -157,8 +159,9 @@
 	}
 }
 
-// loadTime estimates a load beside storeLoads from the store, which slow each
-// other down beyond the number that it serves at once.
+// loadTime estimates the duration of a load while storeLoads loads from the store are in
+// progress. These slow each other down beyond the number that the store serves at full
+// speed.
 func (p *Planner) loadTime(l Level, model string, storeLoads int) time.Duration {
 	m := p.conf.Engine.Models[model]
 	switch l {
@@ -173,7 +176,7 @@
 	return 0
 }
 
-// storeLoads counts the loads from the store that are in progress.
+// storeLoads returns the number of loads from the store in progress.
 func (p *Planner) storeLoads() int {
 	n := 0
 	for _, w := range p.workers {
--- a/coordination/residency/planner.go
+++ b/coordination/residency/planner.go
@@ -10,129 +10,130 @@
 	"github.com/doorvalve/doorvalve/state/fleet"
 )
 
-// replica is a model at an engine, loaded or on its way.
+// replica is a model that is loaded, or being loaded, at an engine.
 type replica struct {
 	adapters map[string]*adapter
-	// readyAt is when requests can start; in the past for a loaded model.
+	// readyAt is when requests can start; it is in the past for a loaded model.
 	readyAt time.Time
-	// confirmed says that the engine itself has named the model since the load
+	// confirmed reports whether the engine has listed the model in a report since the load
 	// was ordered.
 	confirmed bool
 	lastUse   time.Time
-	lastNamed time.Time // for a request, by an answer
-	keepUntil time.Time // promised to a caller until then
+	lastNamed time.Time // last time that an answer directed a request here
+	keepUntil time.Time // no unload before: a caller was promised the model
 }
 
 type adapter struct {
 	readyAt time.Time
 	lastUse time.Time
-	// leaving says that its unload was accepted; it holds its slot until a
-	// report does not name it any more.
+	// unloading reports that the unload was accepted. The adapter occupies its slot until a
+	// report no longer lists it.
 	leaving bool
 }
 
-// pending is an order that the engine has not been seen to complete.
+// pendingOrder is an order whose completion has not been observed yet.
 type pending struct {
 	order    Order
-	answered bool      // accepted; now in progress
-	endsAt   time.Time // expected
-	unsureAt time.Time // when the answer was given up on; zero before
+	answered bool      // the engine carries it out
+	endsAt   time.Time // expected end
+	unsureAt time.Time // when the wait for an answer ended; zero before
 	store    storeLoad // of a load from the store
-	askedAt  time.Time // when requests asked for the load last; zero if none did
+	askedAt  time.Time // last request for the load; zero if there was none
 }
 
 func (o *pending) loadsFromStore() bool {
 	return o.order.Level == Store && !o.order.Unload && o.order.Adapter == ""
 }
 
-// worker is what the planner believes of one engine, in one of its lives.
+// engineState is the planner's view of one incarnation of an engine.
 type worker struct {
 	life     fleet.Incarnation
 	endpoint *fleet.Endpoint
-	known    bool      // its sequence and models are known
-	down     bool      // it does not answer; it gets nothing until it reports
-	silent   int       // reports that did not come, in a row
-	heardAt  time.Time // of the last report
+	known    bool      // sequence and models are up to date
+	down     bool      // does not answer; gets no orders until it reports
+	silent   int       // consecutive probes without a report
+	heardAt  time.Time // time of the last report
 	sequence uint64
 	models   map[string]*replica
 	inMemory map[string]bool
 	onDisk   map[string]bool
 
 	order    *pending
-	adapters []adapterWant // to be loaded, in order
-	notTo    time.Time     // no order before then
-	refused  int           // orders in a row that found the engine busy
-	// unloaded is when unloads were accepted, by model; older descriptions
-	// still name the model.
+	adapters []adapterWant // adapters to load, in order
+	notTo    time.Time     // no order may be sent earlier
+	refused  int           // consecutive orders that found the engine busy
+	// unloadedAt holds when unloads were accepted, by model. Older descriptions of the
+	// engine still list the model.
 	unloaded map[string]time.Time
-	probe    time.Time // next report is wanted then; zero: none
-	asking   bool      // a report is on its way
-	running  int       // requests that daemons say run here
-	sent     int       // requests that an answer sent here and that no daemon has told of yet
+	probe    time.Time // time of the next probe; zero if none is due
+	asking   bool      // a probe is in progress
+	running  int       // requests that run here according to the daemons
+	sent     int       // requests directed here by an answer that no daemon has reported yet
 	late     []lateOrder
-	// afterUnload says that no order has been answered since the last unload.
+	// afterUnload reports that no order has been answered since the last unload.
 	afterUnload bool
-	// fullUntil is until when the engine counts as one without room within its limit.
+	// fullUntil is the time until which the engine counts as full under its rate limit.
 	fullUntil time.Time
-	// unknownLate says that a former coordinator may have sent an order to an earlier
-	// life of the engine, which is not known here and may still be carried out.
+	// unknownLateOrder reports that a former coordinator may have sent an order to an
+	// earlier incarnation of the engine that is not known here and may still be carried
+	// out.
 	unknownLate bool
 }
 
 // adapterWant is an adapter that a request waits for.
 type adapterWant struct{ model, adapter string }
 
-// wanted is a model that is to be loaded.
+// wantedModel is a model to be loaded.
 type wanted struct {
-	asked time.Time // by a request, last
-	// extra says that the model is held already and more replicas are needed.
+	asked time.Time // last request for it
+	// extra reports that the model is loaded already and needs more replicas.
 	extra bool
 }
 
-// demand is what one daemon said last.
+// reportedDemand is the last demand report of one daemon.
 type demand struct {
 	Demand
 	at time.Time
 }
 
-// Planner is the residency of one service. It is not safe for concurrent use.
+// Planner plans the loaded models of one service. It is not safe for concurrent use.
 //
-// Invariants: an engine has at most one order without a known end; an order
-// names the number of orders that its decision was based on, so that it has no
-// effect on any other state; the models and adapters that an engine holds or
-// may come to hold never exceed its memory and adapter slots.
+// Invariants: an engine has at most one order whose end is unknown; an order carries the
+// number of orders that its decision was based on, so that it has no effect on an engine in
+// any other state; the models and adapters that an engine holds or may come to hold never
+// exceed its memory and adapter slots.
 type Planner struct {
 	opt       Options
 	conf      Config
-	largest   float64 // model, in MB
+	largest   float64 // size of the largest model, in MB
 	workers   map[string]*worker
 	lease     Lease
-	tookOver  time.Time // when the lease was taken
+	tookOver  time.Time // time at which this daemon acquired the lease
 	demands   map[string]*demand
-	wants     map[string]*wanted   // models to be loaded
-	values    map[string]*value    // of what was wanted lately, by model
+	wants     map[string]*wanted   // models to load
+	values    map[string]*value    // value of the recent requests, by model
 	pressures map[string]*pressure // of models in use
-	slots     []slot               // the schedule as last made
+	slots     []slot               // last schedule
 	slotsAt   time.Time
-	starts    []time.Time      // loads from the store, newest last
-	grownAt   time.Time        // when an engine was new last
-	copiesAt  time.Time        // models without a near copy are looked for then
-	sorted    []*worker        // by id, so that decisions repeat
-	draft     draft            // of the last step
-	places    StoreConcurrency // of the weight store
-	// unloadTakes is how long engines take to carry out an unload, as was learned.
+	starts    []time.Time      // starts of loads from the store, newest last
+	grownAt   time.Time        // last time that a new engine appeared
+	copiesAt  time.Time        // next search for models without a nearby copy
+	sorted    []*worker        // by id, so that decisions are deterministic
+	draft     draft            // state of the last planning step
+	places    StoreConcurrency // learned concurrency of the weight store
+	// unloadTime is the learned estimate of how long engines take to carry out an unload.
 	unloadTakes time.Duration
-	limits      map[string]limitedLife // that engines name, by id
+	limits      map[string]limitedLife // reported by engines, by id
 	sent        []sentRequest
-	watchedAt   time.Time // when its loads were looked at last
+	watchedAt   time.Time // last update of the concurrency of loads in progress
 }
 
-// New returns a planner that knows nothing.
+// New returns a planner without any state.
 func New(opt Options) *Planner {
 	return &Planner{opt: opt, places: newStorePlaces(opt.InitialStoreConcurrency), workers: map[string]*worker{}, limits: map[string]limitedLife{}, demands: map[string]*demand{}, wants: map[string]*wanted{}, values: map[string]*value{}, pressures: map[string]*pressure{}}
 }
 
-// Configure takes the service's models.
+// Configure sets the service to plan for.
 func (p *Planner) Configure(c Config) {
 	p.conf, p.largest = c, 0
 	if c.Engine == nil {
@@ -143,17 +144,18 @@
 	}
 }
 
-// Lease is whether this daemon holds the lease.
+// Lease describes whether this daemon holds the service's lease.
 type Lease struct {
 	Held  bool
 	Fence uint64
-	First bool // nobody has held it before
-	// OrdersFrom is when the first order may be sent, so that a former holder's last one is a
-	// whole lease term away.
+	First bool // no daemon has held the lease before
+	// OrdersFrom is the earliest time for the first order. A whole lease term then
+	// separates it from the last order of the former holder.
 	OrdersFrom time.Time
 }
 
-// Lease takes whether this daemon holds the lease.
+// SetLease sets whether this daemon holds the lease. When the lease is acquired, or its
+// fence changes, all engines are probed again before they get orders.
 func (p *Planner) SetLease(now time.Time, l Lease) {
 	if l.Held && !p.lease.Held || l.Fence != p.lease.Fence {
 		p.tookOver = now
@@ -168,7 +170,7 @@
 	p.lease = l
 }
 
-// Endpoints takes the present view.
+// SetEndpoints replaces the list of engines by those of the current view.
 func (p *Planner) SetEndpoints(now time.Time, list []*fleet.Endpoint) {
 	present := make(map[string]bool, len(list))
 	for _, e := range list {
@@ -180,7 +182,7 @@
 			p.workers[e.ID] = w
 			p.grownAt = now
 		case e.Incarnation().Before(w.life):
-			continue // the engine itself has told of a later life
+			continue // the engine has reported a later incarnation itself
 		case w.life.Before(e.Incarnation()):
 			w = p.reborn(now, w, e.Incarnation())
 		}
@@ -202,7 +204,7 @@
 	return &worker{life: life, models: map[string]*replica{}, inMemory: map[string]bool{}, onDisk: map[string]bool{}, unloaded: map[string]time.Time{}, probe: now}
 }
 
-// sortWorkers makes the order in which engines are gone through.
+// sortEngines sets the order in which engines are visited.
 func (p *Planner) sortWorkers() {
 	p.sorted = p.sorted[:0]
 	for _, w := range p.workers {
@@ -211,7 +213,7 @@
 	slices.SortFunc(p.sorted, func(a, b *worker) int { return cmp.Compare(a.endpoint.ID, b.endpoint.ID) })
 }
 
-// Reported takes an engine's report.
+// ReceiveReport updates the state of an engine from its report.
 func (p *Planner) ReceiveReport(now time.Time, r Report) {
 	w := p.workers[r.Endpoint.ID]
 	if w == nil || r.Endpoint.Before(w.life) {
@@ -231,7 +233,7 @@
 	}
 }
 
-// ReportFailed takes the failure to get a report.
+// ReportFailed records that an engine did not answer a probe.
 func (p *Planner) ReportFailed(now time.Time, life fleet.Incarnation) {
 	if w := p.workerOf(life); w != nil {
 		w.asking = false
@@ -255,7 +257,7 @@
 
 func (w *worker) usable() bool { return !w.endpoint.Leaving && !w.down }
 
-// Demand takes what a daemon says of its requests.
+// ReceiveDemand replaces the demand of a daemon by its new report.
 func (p *Planner) ReceiveDemand(now time.Time, daemon string, d Demand) {
 	d.Running = p.ofPresentLives(d.Running)
 	p.countDelta(daemon, d.Running)
@@ -281,7 +283,7 @@
 	}
 }
 
-// needed is the number of replicas that a model's running requests ask for.
+// needed returns the number of replicas that the running requests of a model need.
 func needed(active int, perReplica float64) int {
 	switch {
 	case active == 0:
@@ -296,8 +298,8 @@
 	return slices.Contains(w.adapters, adapterWant{model, adapter})
 }
 
-// memory returns what the engine's models and adapters take, in MB, with
-// those that are on their way.
+// memory returns the memory in MB that the engine's models and adapters occupy, including
+// those that are being loaded.
 func (p *Planner) memory(w *worker) float64 {
 	sum := 0.0
 	for name, r := range w.models {
--- a/coordination/residency/planner_test.go
+++ b/coordination/residency/planner_test.go
@@ -13,7 +13,8 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// testEngine is a service of small engines: three models each.
+// testEngine returns the configuration of a service with small engines, which hold three
+// models each.
 func testEngine(models int) *routing.Engine {
 	e := &routing.Engine{Slots: 64, MemoryMB: 230, AdapterSlots: 3, LoadsPerSecond: 3, Models: map[string]routing.Model{}}
 	for i := range models {
@@ -23,7 +24,7 @@
 	return e
 }
 
-// world runs a planner against simulated engines in virtual time.
+// simCluster runs a planner against simulated engines in virtual time.
 type world struct {
 	now     time.Time
 	conf    *routing.Engine
@@ -31,21 +32,21 @@
 	p       *Planner
 	lag     time.Duration
 	late    []delayedOrder
-	lateBy  time.Duration // how late an order with the fate "late" comes
+	lateBy  time.Duration // delay of an order with the fate "late"
 	fence   uint64
-	// chance decides the fate of an order; nil: all are answered.
+	// chance returns the fate of an order; nil means that all orders are answered.
 	chance func() string
-	// beforeStep is called before each step; nil: nothing is.
+	// beforeStep is called before each step if it is not nil.
 	beforeStep func(step time.Duration)
-	// silent decides whether an engine gives no report; nil: it always does.
+	// silent returns whether an engine fails to report; nil means that it always reports.
 	silent  func() bool
 	orders  int
 	refused int // orders that found an engine busy
-	// accepted is told of each order that an engine accepts; nil: nobody.
+	// accepted is called for each order that an engine accepts if it is not nil.
 	accepted func(Order)
 }
 
-// holders returns the number of engines that hold a model.
+// holders returns the number of engines that have a model loaded.
 func (w *world) holders(model string) int {
 	n := 0
 	for _, e := range w.engines {
@@ -56,7 +57,7 @@
 	return n
 }
 
-// delayedOrder is an order without an answer that is carried out later.
+// delayedOrder is an unanswered order that is carried out later.
 type delayedOrder struct {
 	at    time.Time
 	order Order
@@ -77,7 +78,7 @@
 	return w
 }
 
-// takeOver replaces the planner by one of another daemon.
+// takeOver replaces the planner by that of another daemon.
 func (w *world) takeOver() {
 	w.fence++
 	w.p = New(Options{Holder: fmt.Sprintf("h%d", w.fence), InitialStoreConcurrency: 4, RateWindow: 5 * time.Second, RateFactor: 1.1})
@@ -103,7 +104,7 @@
 	return nil
 }
 
-// step passes 20 ms.
+// step advances the simulation by 20 ms.
 func (w *world) step() {
 	w.now = w.now.Add(20 * time.Millisecond)
 	if w.beforeStep != nil {
@@ -169,8 +170,8 @@
 	}
 }
 
-// A busy model gets the replicas that its requests ask for and no more, however
-// long they take to load.
+// A busy model gets as many replicas as its requests need and no more, however long these
+// take to load.
 func TestNoMoreReplicasThanNeeded(t *testing.T) {
 	w := newWorld(12, 6)
 	loads := 0
@@ -184,17 +185,17 @@
 		w.run(time.Second)
 	}
 	if held := w.holders("m00"); held != needed(20, w.p.perReplica()) || loads != needed(20, w.p.perReplica())-1 {
-		t.Fatalf("%d replicas after %d loads, %d are needed", held, loads, needed(20, w.p.perReplica()))
+		t.Fatalf("%d replicas after %d loads, want %d replicas", held, loads, needed(20, w.p.perReplica()))
 	}
 }
 
-// A model whose only replica is overrun gets another one, though daemons do not
-// ask for it and rare models are asked for all the while.
+// A model whose only replica is overloaded gets another one, although daemons send no Want
+// calls for it and rare models are requested all the time.
 func TestOverrunModelGetsAReplica(t *testing.T) {
 	w := newWorld(90, 6)
 	for i := range 70 {
 		running := 1
-		if i >= 20 { // the weight store has its hands full by then
+		if i >= 20 { // all concurrent loads of the weight store are in use by then
 			running = 80
 		}
 		w.p.ReceiveDemand(w.now, "d", Demand{Active: map[string]int{"m00": running}, Running: map[Place]int{{life("e0"), "m00"}: running}})
@@ -202,59 +203,59 @@
 		w.run(200 * time.Millisecond)
 	}
 	if n := w.holders("m00"); n < 2 {
-		t.Fatalf("%d replica for 80 running requests after 10 s", n)
+		t.Fatalf("%d replicas for 80 running requests after 10 s, want at least 2", n)
 	}
 }
 
-// A holder that a daemon cannot reach, and that gives no report when it is
-// asked at once, is replaced long before its entry in the store lapses.
+// An engine that a daemon cannot reach and that does not answer the immediate probe is
+// replaced long before its entry in the store expires.
 func TestUnreachableHolderIsReplaced(t *testing.T) {
 	w := newWorld(12, 3)
 	w.run(time.Second)
 	want := Want{Model: "m00"}
 	first := w.p.Want(w.now, want)
 	if first.Endpoint.ID != "e0" {
-		t.Fatalf("m00 is at %q", first.Endpoint.ID)
+		t.Fatalf("m00 is at %q, want e0", first.Endpoint.ID)
 	}
-	w.engines = w.engines[1:] // it has crashed; its entry is still there
+	w.engines = w.engines[1:] // it has crashed; its entry still exists
 	want.Avoid, want.Unreachable = life("e0"), true
 	w.p.Want(w.now, want)
 	w.run(100 * time.Millisecond)
 	if a := w.p.Want(w.now, Want{Model: "m00"}); a.Endpoint.ID == "e0" || a.Refused != "" {
-		t.Fatalf("still expected at the engine that is gone: %+v", a)
+		t.Fatalf("answer uses the crashed engine: %+v", a)
 	}
 }
 
-// The endpoint that has just failed a request is named again only where no
-// other holds the model, and after a pause.
+// An endpoint that has just failed a request is returned to it again only if no other
+// endpoint holds the model, and after a pause.
 func TestFailedHolderIsNamedAfterAPause(t *testing.T) {
 	w := newWorld(12, 3)
 	w.run(time.Second)
 	a := w.p.Want(w.now, Want{Model: "m00", Avoid: life("e0")})
 	if a.Endpoint.ID != "e0" || a.ReadyIn != avoidedPause || a.Refused != "" {
-		t.Fatalf("the only holder: %+v", a)
+		t.Fatalf("failed request: %+v, want its only holder after a pause", a)
 	}
 	if a := w.p.Want(w.now, Want{Model: "m00"}); a.Endpoint.ID != "e0" || a.ReadyIn != 0 {
-		t.Fatalf("for another request: %+v", a)
+		t.Fatalf("another request: %+v, want the holder at once", a)
 	}
 }
 
-// A daemon that cannot reach an engine proves nothing while the engine answers
-// the coordinator.
+// An engine that one daemon cannot reach stays in use as long as it answers the
+// coordinator.
 func TestUnreachableForOneDaemonOnly(t *testing.T) {
 	w := newWorld(12, 3)
 	w.run(time.Second)
 	w.p.Want(w.now, Want{Model: "m00", Avoid: life("e0"), Unreachable: true})
 	w.run(time.Second)
 	if a := w.p.Want(w.now, Want{Model: "m00"}); a.Endpoint.ID != "e0" || a.ReadyIn > 0 {
-		t.Fatalf("given up on for one daemon's word: %+v", a)
+		t.Fatalf("engine not used after the report of one daemon: %+v", a)
 	}
 }
 
 func (w *world) check(t interface{ Fatalf(string, ...any) }) {
 	for _, e := range w.engines {
 		if e.overloaded {
-			t.Fatalf("engine %s was ordered beyond what it holds: %v", e.endpoint.ID, e.loaded())
+			t.Fatalf("engine %s received orders beyond its memory or adapter slots: %v", e.endpoint.ID, e.loaded())
 		}
 	}
 }
@@ -262,19 +263,19 @@
 func TestWantedModelComesFromDiskWithinASecond(t *testing.T) {
 	w := newWorld(4, 1)
 	w.engines[0].onDisk["m03"] = true
-	w.run(4 * time.Second) // what it holds is idle by then
+	w.run(4 * time.Second) // its models are idle by then
 	a := w.p.Want(w.now, Want{Model: "m03"})
 	if a.Refused != "" || a.Level != Disk || a.ReadyIn > time.Second {
 		t.Fatalf("answer %+v, want a load from disk within a second", a)
 	}
 	w.run(a.ReadyIn + 300*time.Millisecond)
 	if _, ok := w.engines[0].models["m03"]; !ok {
-		t.Fatalf("the engine holds %v", w.engines[0].loaded())
+		t.Fatalf("m03 is not loaded; the engine holds %v", w.engines[0].loaded())
 	}
 	w.check(t)
 }
 
-// A burst for one model causes one load.
+// A burst of requests for one model causes a single load.
 func TestBurstCausesOneLoad(t *testing.T) {
 	w := newWorld(10, 3)
 	w.run(4 * time.Second)
@@ -289,12 +290,12 @@
 		}
 	}
 	if holders != 1 {
-		t.Fatalf("%d engines hold the model", holders)
+		t.Fatalf("%d engines hold the model, want 1", holders)
 	}
 }
 
-// A former holder's load is in progress while the new holder asks for reports:
-// what the engine will hold is in no report, so nothing may be ordered on it.
+// A load of the former coordinator is in progress while the new one probes the engine. Its
+// effect is in no report yet, so no order may be based on these reports.
 func TestForeignOrderInProgressMakesStateUnknown(t *testing.T) {
 	w := newWorld(8, 1)
 	e := w.engines[0]
@@ -314,8 +315,8 @@
 	w.check(t)
 }
 
-// An order that was given up on and is carried out later has no effect once
-// another order was accepted, and is counted otherwise.
+// An order that is carried out after the planner stopped waiting for its answer has no
+// effect if another order was accepted in between, and is counted otherwise.
 func TestLateOrdersNeverOverload(t *testing.T) {
 	w := newWorld(9, 2)
 	n := 0
@@ -333,19 +334,19 @@
 	}
 }
 
-// An engine's word that it does not hold a model reaches the planner, which
-// then does not name it again before a report.
+// After an engine has answered that it does not hold a model, the planner does not return
+// it for that model again before its next report.
 func TestAbsentModelIsNotNamedAgain(t *testing.T) {
 	w := newWorld(3, 1)
 	w.run(time.Second)
 	delete(w.engines[0].models, "m01")
 	a := w.p.Want(w.now, Want{Model: "m01", MissingAt: life("e0")})
 	if a.Refused == "" && a.ReadyIn == 0 {
-		t.Fatalf("answer %+v names the engine that has just said no", a)
+		t.Fatalf("answer %+v uses the engine that has just answered that it lacks the model", a)
 	}
 }
 
-// The store's places go to the model that most requests wait for.
+// The concurrent loads of the store are used for the model that most requests wait for.
 func TestStorePlacesGoToWhatIsWantedMost(t *testing.T) {
 	w := newWorld(20, 2)
 	w.run(100 * time.Millisecond)
@@ -361,7 +362,7 @@
 			return
 		}
 	}
-	t.Fatal("the most wanted model is not loaded after one load's time")
+	t.Fatal("the most requested model is not loaded after the time of one load")
 }
 
 func TestNoOrderBeforeTheFormerHolderIsSilent(t *testing.T) {
@@ -369,7 +370,7 @@
 	w.p.SetLease(w.now, Lease{Held: true, Fence: 9, OrdersFrom: w.now.Add(3 * time.Second)})
 	w.p.Want(w.now, Want{Model: "m08"})
 	if a := w.p.Want(w.now, Want{Model: "m00", Adapter: "a1"}); a.ReadyIn < 2*time.Second {
-		t.Fatalf("an adapter that needs an order is promised in %v", a.ReadyIn)
+		t.Fatalf("an adapter that needs an order is promised in %v, want at least 2 s", a.ReadyIn)
 	}
 	w.run(2900 * time.Millisecond)
 	if w.orders != 0 {
@@ -381,8 +382,8 @@
 	}
 }
 
-// An adapter's unload that has not reached its engine frees no slot, also when
-// no report comes.
+// The unload of an adapter that has not reached its engine frees no slot, even if the
+// engine does not report.
 func TestUnloadThatWasNotAcceptedFreesNothing(t *testing.T) {
 	w := newWorld(3, 1)
 	w.run(time.Second)
@@ -404,8 +405,8 @@
 	w.check(t)
 }
 
-// An adapter that takes long to come holds its slot meanwhile, also when an
-// endpoint has said that it is not there yet.
+// An adapter with a long load time occupies its slot while it loads, even if an endpoint
+// has answered that it does not hold the adapter.
 func TestAdapterOnItsWayHoldsItsSlot(t *testing.T) {
 	w := newWorld(3, 1)
 	w.engines[0].adapterTime = 3 * time.Second
@@ -420,8 +421,8 @@
 	}
 }
 
-// An adapter that requests still use leaves later: its slot is not free when
-// its unload is accepted.
+// An adapter that requests still use is unloaded later: its slot is not free when the
+// unload is accepted.
 func TestAdapterInUseHoldsItsSlotUntilItIsGone(t *testing.T) {
 	w := newWorld(3, 1)
 	w.run(time.Second)
@@ -438,8 +439,8 @@
 	}
 }
 
-// A replica on which requests run does not make way, even where there are more
-// replicas than needed: its unload would keep the engine from all else.
+// A replica with running requests is not unloaded, even if there are more replicas than
+// needed: its unload would block all other orders to the engine.
 func TestReplicaInUseDoesNotMakeWay(t *testing.T) {
 	w := newWorld(4, 1)
 	e := w.engines[0]
@@ -458,8 +459,8 @@
 	}
 }
 
-// Whatever happens to orders, reports and engines, no engine is ordered beyond
-// its memory or adapter slots, and a wanted model is there in the end.
+// Whatever happens to orders, reports and engines, no engine is ordered to load more than
+// its memory or adapter slots permit.
 func TestNeverBeyondMemory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		models := rapid.IntRange(4, 14).Draw(t, "models")
@@ -482,12 +483,12 @@
 	switch rapid.IntRange(0, 11).Draw(t, "event") {
 	case 0:
 		w.takeOver()
-	case 10, 11: // the engine restarts under the same id, and the store may tell later
+	case 10, 11: // the engine restarts under the same id, and the store may list it later
 		e.restart(w.now)
-		if rapid.Bool().Draw(t, "told") {
+		if rapid.Bool().Draw(t, "listed") {
 			w.entries()
 		}
-	case 1: // the engine restarts: empty, with its disk, under a new id
+	case 1: // the engine restarts under a new id with nothing but its disk
 		next := newSimEngine(w.conf, fmt.Sprintf("%s'", e.endpoint.ID))
 		next.onDisk = e.onDisk
 		next.publish()
--- a/coordination/residency/pressure.go
+++ b/coordination/residency/pressure.go
@@ -6,38 +6,41 @@
 )
 
 const (
-	// pressureHalfLife is how fast first events are forgotten: demand moves
-	// within seconds.
+	// pressureHalfLife is the half-life of the first events in the statistics. It is short
+	// because demand shifts within seconds.
 	pressureHalfLife = 1500 * time.Millisecond
-	// pressedShare of slow first events asks for one more replica; less would take
-	// places from rare models.
+	// overloadShare is the share of slow first events from which a model gets one more
+	// replica. A lower value would take room from rare models.
 	pressedShare = 0.3
-	// pressedLeast, in requests, keeps one or two slow ones from asking for it.
+	// minOverloadEvents is the minimum number of slow first events for one more replica, so
+	// that one or two slow requests are not enough.
 	pressedLeast = 3.0
-	// calmShare of slow first events says that the replicas carry what they
-	// have: a third of pressedShare, so that the two do not alternate.
+	// normalShare is the share of slow first events below which the replicas can serve
+	// their present load. It is a third of overloadShare, so that the decision does not
+	// oscillate.
 	calmShare = 0.1
-	// pressureSettles is how long a new replica has to show its effect: daemons
-	// learn of it within a heartbeat of its engine.
+	// replicaSettleTime is the time that a new replica has to show its effect: daemons
+	// learn of it within one heartbeat of its engine.
 	pressureSettles = 1500 * time.Millisecond
-	// headroom is the part of what a replica could carry that it is meant to, so
-	// that one fewer is tried only when the load has fallen by a fifth.
+	// targetUtilization is the share of a replica's capacity that is planned to be used, so
+	// that a replica is removed only after the load has dropped by a fifth.
 	headroom = 0.8
-	// lostPart is the part of a request's worth that is taken to be lost with a
-	// late answer.
+	// lateLossShare is the share of a request's value that is assumed to be lost by a late
+	// answer.
 	lostPart = 0.5
 )
 
-// pressure is how fast the engines that hold a model begin to answer. What one
-// replica carries depends on the model, its prompts and what else its engine
-// does; none of that is declared, so it is learned from the first events.
+// pressure measures how quickly the engines that hold a model begin to answer. The load
+// that one replica can serve depends on the model, its prompts and the other work of its
+// engine. None of that is declared, so it is learned from the first events.
 type pressure struct {
-	count, slow float64   // first events lately, fading
-	seconds     float64   // in which they came, fading in the same way
-	at          time.Time // of the last fading
-	rank        int       // of the most urgent requests that a daemon told of last
-	// perReplica is the first events a second of one replica at which the model
-	// was pressed, or which it has carried since; zero if it never was.
+	count, slow float64   // recent first events, decaying
+	seconds     float64   // time span of these events, decaying in the same way
+	at          time.Time // time of the last decay
+	rank        int       // of the most urgent requests in the last report of a daemon
+	// perReplica is the rate of first events per second and replica at which the model was
+	// overloaded, or a higher rate that its replicas have served since. It is zero if the
+	// model has never been overloaded.
 	perReplica float64
 }
 
@@ -47,12 +50,12 @@
 	s.seconds = s.seconds*f + (1-f)*pressureHalfLife.Seconds()/math.Ln2
 }
 
-// rate returns the first events a second.
+// rate returns the number of first events per second.
 func (s *pressure) rate() float64 { return s.count / s.seconds }
 
 func (s *pressure) isPressed() bool { return s.slow >= pressedLeast && s.slow >= pressedShare*s.count }
 
-// pressed takes what a daemon says of a model's first events.
+// addFirstEvents adds the first events of a model that a daemon reports.
 func (p *Planner) pressed(now time.Time, model string, f FirstEvents) {
 	s := p.pressures[model]
 	if s == nil {
@@ -65,12 +68,12 @@
 	s.rank = f.Rank
 }
 
-// forgottenAt is the number of first events, fading, at which a model's
-// pressure is forgotten.
+// minFirstEvents is the decayed number of first events below which a model's pressure is
+// deleted.
 const forgottenAt = 0.01
 
-// pressedReplicas returns the replicas that slow first events ask for, by
-// model: one more at a time, as the last one has shown its effect.
+// replicasForPressure returns the replicas that are needed because of slow first events, by
+// model. The number grows by one at a time, once the previous replica has shown its effect.
 func (p *Planner) pressedReplicas(d *draft) map[string]int {
 	need := map[string]int{}
 	for model, s := range p.pressures {
@@ -97,8 +100,8 @@
 	return need
 }
 
-// pressureWeight is what one more replica is worth against the wants of other
-// models: its slow answers, as if they were wants.
+// pressureWeight returns the value of one more replica, comparable with the value of
+// requests for other models: slow answers count like requests.
 func (p *Planner) pressureWeight(now time.Time, model string) float64 {
 	s := p.pressures[model]
 	if s == nil || s.perReplica == 0 {
--- a/coordination/residency/rare_test.go
+++ b/coordination/residency/rare_test.go
@@ -9,34 +9,34 @@
 	"time"
 )
 
-// rareLoad is a service of hundreds of rare models before hundreds of daemons, in virtual
-// time: each model is asked for once in some seconds, by one request that runs for two;
-// the models have copies on a few engines' disks each, and busy models keep a part of the
-// places. The figures are those of the users' largest deployment.
+// rareLoad simulates a service with hundreds of rare models and hundreds of daemons in
+// virtual time. Each model is requested once in some seconds, by one request that runs for
+// about two seconds. Models have copies on the disks of a few engines, and busy models
+// occupy a share of the engines' room. The figures are those of the largest deployment.
 type rareLoad struct {
 	*world
 	rng      *rand.Rand
 	rate     float64 // requests a second
 	models   int
 	daemons  []*rareDaemon
-	requests []*rareRequest // that wait
-	runs     []*rareRequest // that run
+	requests []*rareRequest // waiting
+	runs     []*rareRequest // running
 	waits    []time.Duration
-	left     int // requests whose caller has left before
+	left     int // requests whose caller gave up before they started
 	askedFor int
-	// slotFreeAt holds when each slot of an engine is free, where engines queue what they
-	// cannot begin; nil: they begin all at once.
+	// slotFreeAt holds when each slot of an engine becomes free, if engines queue the
+	// requests that they cannot start at once; nil means that all requests start at once.
 	slotFreeAt map[string][]time.Time
-	refuses    bool // requests that would begin late at a full engine
+	refuses    bool // reject requests that would start late at a full engine
 	turnedAway int
 }
 
-// rareDaemon is one daemon's word on its requests.
+// rareDaemon is a daemon and the demand that it reports.
 type rareDaemon struct {
 	name   string
 	demand Demand
 	pace   DemandTimer
-	said   int // places, last
+	said   int // number of active models in the last report
 }
 
 type rareRequest struct {
@@ -51,11 +51,12 @@
 const (
 	rareRun      = 2200 * time.Millisecond // mean
 	rarePatience = 8 * time.Second
-	rareTarget   = 1900 * time.Millisecond // in which a request must begin to be in time
+	rareTarget   = 1900 * time.Millisecond // a request is in time if it starts within this time
 )
 
-// newRareLoad makes a service with so many engines; copies is on how many disks a model
-// lies, and busy the part of the engines' places that busy models keep.
+// newRareLoad returns a service with the given number of engines. copies is the maximum
+// number of disks with a copy of a model, and busy the share of the engines' room that busy
+// models occupy.
 func newRareLoad(engines, models, copies, daemons int, busy float64, seed uint64) *rareLoad {
 	rng := rand.New(rand.NewPCG(seed, 7))
 	l := &rareLoad{world: &world{now: start, conf: testEngine(models), lag: 200 * time.Millisecond}, rng: rng, models: models}
@@ -122,7 +123,7 @@
 	return until
 }
 
-// play passes a time, in steps of 20 ms.
+// simulate advances the simulation by d, in steps of 20 ms.
 func (l *rareLoad) play(d time.Duration) {
 	due := 0.0
 	for end := l.now.Add(d); l.now.Before(end); {
@@ -202,7 +203,7 @@
 	return true
 }
 
-// slot takes the slot of an engine that is free first, and returns when.
+// slot occupies the first slot of an engine to become free, and returns when that is.
 func (l *rareLoad) slot(id string, run time.Duration) time.Time {
 	slots := l.slotFreeAt[id]
 	if slots == nil {
@@ -240,8 +241,8 @@
 	}
 }
 
-// outcome returns the parts of the requests that began in time, that began late, and whose
-// callers left, and the mean wait of those that began.
+// outcome returns the shares of the requests that started in time, that started late, and
+// whose callers gave up, and the mean wait of those that started.
 func (l *rareLoad) outcome() (inTime, late, left float64, mean time.Duration) {
 	sum := time.Duration(0)
 	n := 0
@@ -255,9 +256,11 @@
 	return float64(n) / all, float64(len(l.waits)-n) / all, float64(l.left) / all, sum / time.Duration(max(1, len(l.waits)))
 }
 
-// Load: rare models take nearly all places, for a run and the swap before it. As many
-// requests begin in time as places are free, so each second in which one stands idle counts:
-// with a place idle until its daemon had its turn to tell, 0.84 in place of 0.87 of the requests began in time.
+// Load: rare models occupy nearly all room, each for one request and the swap before it.
+// The number of requests that start in time depends on how soon a model is replaced after
+// its request, so every idle second counts. When models were replaced only after the
+// regular demand report of their daemon, 0.84 instead of 0.87 of the requests started in
+// time.
 func TestRareModelsAmongManyDaemons(t *testing.T) {
 	inTime, late, left := 0.0, 0.0, 0.0
 	const seeds = 8
@@ -266,19 +269,20 @@
 		l.rate = 38.8
 		l.play(12 * time.Second)
 		a, b, c, mean := l.outcome()
-		t.Logf("%.3f in time, %.3f late, %.3f left, mean wait %v, %d orders, %d refused, %d asked", a, b, c, mean, l.orders, l.refused, l.askedFor)
+		t.Logf("%.3f in time, %.3f late, %.3f left, mean wait %v, %d orders, %d refused, %d requests", a, b, c, mean, l.orders, l.refused, l.askedFor)
 		inTime, late, left = inTime+a/seeds, late+b/seeds, left+c/seeds
 	}
 	if inTime < 0.85 {
-		t.Errorf("%.3f began in time, %.3f late, %.3f not at all", inTime, late, left)
+		t.Errorf("%.3f started in time, %.3f late, %.3f not at all, want 0.85 in time", inTime, late, left)
 	}
 }
 
-// Load: demand moves to one model faster than replicas follow, and its holders get three
-// requests where they can take two, of which each daemon sends a few. The coordinator knows
-// of each that it has named a holder for: no holder queues while another has a slot free,
-// and those that would begin too late are refused at once. Without the refusals each
-// request begins late; the holders are as busy with them.
+// Load: demand shifts to one model faster than replicas are added, and its holders get
+// three requests for every two that they can process, a few from each daemon. The
+// coordinator counts each request that it has directed to a holder, so no holder queues
+// requests while another has a free slot, and requests that would start too late are
+// rejected at once. Without rejections all requests would start late, while the holders
+// process as many of them.
 func TestOverrunHoldersServeInTime(t *testing.T) {
 	for _, refuses := range []bool{false, true} {
 		w := newWorld(6, 6)
@@ -302,16 +306,17 @@
 				prompt++
 			}
 		}
-		t.Logf("refuses %v: %d began, %d of them within 400 ms, %d refused, %d left", refuses, len(l.waits), prompt, l.turnedAway, l.left)
+		t.Logf("reject late %v: %d started, %d of them within 400 ms, %d rejected, %d left", refuses, len(l.waits), prompt, l.turnedAway, l.left)
 		fits := 20 * 6 * 12 / rareRun.Seconds()
 		if refuses && (float64(len(l.waits)) < 0.92*fits || prompt < len(l.waits)*8/10) {
-			t.Errorf("%d began, %d of them within 400 ms, %.0f fit", len(l.waits), prompt, fits)
+			t.Errorf("%d started, %d of them within 400 ms; capacity %.0f", len(l.waits), prompt, fits)
 		}
 	}
 }
 
-// A coordinator's work at the sizes of six, 195 and 375 daemons: a step with all that they
-// told, a word of one of them, and an answer to one.
+// BenchmarkCoordinator measures a coordinator's work with 6, 195 and 375 daemons: a
+// planning step with all their demand, a demand report of one daemon, and an answer to one
+// daemon.
 func BenchmarkCoordinator(b *testing.B) {
 	for _, c := range []struct{ daemons, engines, models int }{{6, 9, 50}, {195, 124, 627}, {375, 600, 1800}} {
 		l := newRareLoad(c.engines, c.models, 2, c.daemons, 0.3, 1)
@@ -324,7 +329,7 @@
 				l.p.schedule(l.p.newDraft(l.now))
 			}
 		})
-		b.Run(fmt.Sprintf("word/%d daemons", c.daemons), func(b *testing.B) {
+		b.Run(fmt.Sprintf("report/%d daemons", c.daemons), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
 				l.p.ReceiveDemand(l.now, l.daemons[0].name, said)
--- a/coordination/residency/ready.go
+++ b/coordination/residency/ready.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Ready returns the orders to send and the reports to ask for.
+// Ready returns the orders to send and the engines to probe.
 func (p *Planner) Ready(now time.Time) Ready {
 	var r Ready
 	if p.conf.Engine == nil {
@@ -41,13 +41,14 @@
 	return r
 }
 
-// free reports whether an order may go to an engine now.
+// free reports whether an order may be sent to an engine now.
 func (p *Planner) free(now time.Time, w *worker) bool {
 	return w.order == nil && w.known && w.usable() && !now.Before(w.notTo)
 }
 
-// passTime ends loads from near copies by the clock; loads from the store,
-// whose time depends on others, wait for the engine's word.
+// advance completes loads from nearby copies when their declared time has passed. Loads
+// from the store take longer beside others, so they are complete only when the engine
+// reports it.
 func (p *Planner) passTime(now time.Time, w *worker) {
 	w.forgetLate(now)
 	w.unknownLate = p.mayHaveUnknownLate(now, w)
@@ -68,13 +69,13 @@
 	}
 }
 
-// adapterNext returns the order for an adapter that a request waits for.
+// nextAdapterOrder returns the order for the next adapter that a request waits for.
 func (p *Planner) adapterNext(now time.Time, w *worker) (Order, bool) {
 	for len(w.adapters) > 0 && p.free(now, w) {
 		a := w.adapters[0]
 		r := w.models[a.model]
 		if r == nil || r.adapters[a.adapter] != nil {
-			w.adapters = w.adapters[1:] // its model is gone, or it is there
+			w.adapters = w.adapters[1:] // the model was removed, or the adapter is loaded already
 			continue
 		}
 		return p.adapterOrder(now, w, a)
@@ -82,8 +83,8 @@
 	return Order{}, false
 }
 
-// modelNext returns the order that brings a wanted model nearer, if its engine
-// is free: one that makes room, or the load.
+// nextModelOrder returns the next order towards loading a wanted model if its engine is
+// free: an unload that makes room, or the load itself.
 func (p *Planner) modelNext(d *draft, s slot) (Order, bool) {
 	if !p.free(d.now, s.w) {
 		return Order{}, false
@@ -98,7 +99,8 @@
 	return o, ok
 }
 
-// modelOrder makes room for a model, or loads it.
+// modelOrder returns the order to unload a victim if the engine has no room for a model, or
+// else the order to load the model.
 func (p *Planner) modelOrder(d *draft, w *worker, model string, urgent bool) (Order, bool) {
 	now := d.now
 	if p.memory(w)+p.conf.Engine.Models[model].SizeMB > p.conf.Engine.MemoryMB {
@@ -106,7 +108,7 @@
 		if len(victims) == 0 || victims[0].wait > 0 {
 			return Order{}, false
 		}
-		// Another replica of it must not make way at the same time.
+		// Prevents the unload of another replica of the same model in this step.
 		d.replicas[victims[0].name]--
 		for _, e := range d.engines {
 			e.derived = false
@@ -122,7 +124,8 @@
 	return o, true
 }
 
-// mayLoadFromStore keeps to the store's places and to its rate of loads.
+// mayLoadFromStore reports whether the concurrency and rate limits of the store permit
+// another load.
 func (p *Planner) mayLoadFromStore(now time.Time) bool {
 	if p.storeLoads() >= p.places.Estimate {
 		return false
@@ -132,7 +135,8 @@
 	return p.conf.Engine.LoadsPerSecond <= 0 || float64(len(p.starts)) < allowed
 }
 
-// adapterOrder makes room among the adapters, or loads one.
+// adapterOrder returns the order to unload an adapter if the engine has no room for another
+// one, or else the order to load the adapter.
 func (p *Planner) adapterOrder(now time.Time, w *worker, a adapterWant) (Order, bool) {
 	if w.heldAdapters() >= p.conf.Engine.AdapterSlots || p.memory(w)+p.conf.Engine.Models[a.model].AdapterMB > p.conf.Engine.MemoryMB {
 		model, name, ok := oldestAdapter(w, now)
@@ -141,7 +145,7 @@
 			return Order{}, false
 		}
 		if model == "" {
-			return Order{}, false // one is on its way out
+			return Order{}, false // an adapter is being unloaded
 		}
 		return p.send(now, w, Order{Unload: true, Model: model, Adapter: name}, Resident), true
 	}
@@ -150,11 +154,11 @@
 	return p.send(now, w, Order{Model: a.model, Adapter: a.adapter}, Resident), true
 }
 
-// adapterIdle is how long an adapter must be unused before it makes way.
+// adapterIdle is how long an adapter must be unused before it may be unloaded.
 const adapterIdle = time.Second
 
-// oldestAdapter returns the adapter that is unused for longest. With one on its
-// way out already, it returns ok and no name.
+// lruAdapter returns the least recently used adapter. If an adapter is being unloaded
+// already, it returns ok and empty names.
 func oldestAdapter(w *worker, now time.Time) (model, name string, ok bool) {
 	oldest := now.Add(-adapterIdle)
 	for m, r := range w.models {
@@ -181,8 +185,8 @@
 	return o
 }
 
-// wantReplicas wants more replicas of models whose running requests ask for
-// them, and no more of those that have enough, loaded or on their way.
+// wantReplicas adds wants for models whose running requests need more replicas, and removes
+// those of models that have enough replicas, loaded or being loaded.
 func (p *Planner) wantReplicas(d *draft) {
 	for model, w := range p.wants {
 		if w.extra && d.replicas[model] >= d.needed(model) {
@@ -201,10 +205,11 @@
 	}
 }
 
-// copies brings models near that no engine has a copy of, while the store has
-// places free: afterwards they are a disk's load time away. One place stays free for
-// what is asked for: a store of few places has none otherwise for the seconds of a load,
-// and the replica of a model that demand has moved to comes as much later.
+// copyMissing loads models without a copy at any engine while the store has spare
+// concurrency, so that later loads take only the time of a load from disk. One concurrent
+// load is left for requested models. Otherwise a store with a low concurrency would have
+// none to spare for the seconds of a load, and the replica of a model that demand has
+// shifted to would be delayed by as much.
 func (p *Planner) copies(d *draft) []Order {
 	const keptPlaces = 1
 	now := d.now
@@ -238,8 +243,8 @@
 	return orders
 }
 
-// missing returns the models without a copy at any usable engine, the most
-// wanted first.
+// missingModels returns the models without a copy at any usable engine, the most valuable
+// first.
 func (p *Planner) missing(now time.Time) []string {
 	near := map[string]bool{}
 	for _, w := range p.sorted {
@@ -259,7 +264,7 @@
 	return list
 }
 
-// near adds the models that an engine has a copy of.
+// addCopies adds the models of which an engine has a copy to set.
 func (w *worker) near(set map[string]bool) {
 	for name := range w.models {
 		set[name] = true
@@ -272,9 +277,9 @@
 	}
 }
 
-// quietEngine returns the engine that is missed least while it loads from the
-// store: it has nothing planned and the fewest models that are in use there or
-// that only it can bring back.
+// leastUsedEngine returns the engine whose occupation by a load from the store costs least.
+// It has nothing scheduled, and the fewest models that are in use there or that only it has
+// a copy of.
 func (p *Planner) quietEngine(d *draft, model string) *worker {
 	var best *worker
 	bestOnly := 0
@@ -292,13 +297,12 @@
 	return best
 }
 
-// scheduled reports whether a wanted model will be loaded at an engine.
+// scheduled reports whether the schedule has a load at an engine.
 func (p *Planner) scheduled(w *worker) bool {
 	return slices.ContainsFunc(p.slots, func(s slot) bool { return s.w == w })
 }
 
-// onlyHere counts the models that are not loaded and have their only copy at
-// the engine.
+// onlyCopies counts the models that are not loaded and whose only copy is at the engine.
 func (p *Planner) onlyHere(w *worker) int {
 	n := 0
 	for name := range w.onDisk {
--- a/coordination/residency/running.go
+++ b/coordination/residency/running.go
@@ -8,13 +8,15 @@
 	"github.com/doorvalve/doorvalve/state/fleet"
 )
 
-// Running counts what runs at an engine, by what all daemons have told lately.
+// Running is the number of running requests at an engine, from the valid reports of all
+// daemons.
 type Running struct {
 	Endpoint fleet.Incarnation
 	Requests int
 }
 
-// Running returns what runs at each engine, sorted by id, as of the last step.
+// Running returns the running requests of each engine, sorted by id, as of the last
+// planning step.
 func (p *Planner) Running() []Running {
 	list := make([]Running, len(p.sorted))
 	for i, w := range p.sorted {
@@ -23,25 +25,27 @@
 	return list
 }
 
-// sentRequest is a request that an answer has sent to an engine and that its daemon has
-// not told of yet.
+// sentRequest is a request that an answer has directed to an engine and that its daemon has
+// not reported yet.
 type sentRequest struct {
 	daemon string
 	life   fleet.Incarnation
 	at     time.Time
 }
 
-// sentTo notes that an answer has sent a daemon's request to an engine.
+// addSent records that an answer has directed a daemon's request to an engine.
 func (p *Planner) sentTo(now time.Time, w *worker, daemon string) {
 	w.sent++
 	p.sent = append(p.sent, sentRequest{daemon, w.life, now})
 }
 
-// answerWay is how long an answer takes to its daemon and the request from there to be
-// counted, at most: what was answered later is not in what the daemon tells now.
+// answerDelay is the maximum time until an answer has reached its daemon and the request is
+// counted there. Requests that were answered later than that are not included in the
+// daemon's present report.
 const answerWay = 20 * time.Millisecond
 
-// forgetSent forgets what a daemon has told of by now, and what it should have.
+// pruneSent drops the requests that a daemon has reported by now, and those it should have
+// reported.
 func (p *Planner) forgetSent(now time.Time, daemon string) {
 	told, overdue := now.Add(-answerWay), now.Add(-p.idleAfter())
 	p.sent = slices.DeleteFunc(p.sent, func(s sentRequest) bool {
@@ -55,7 +59,7 @@
 	})
 }
 
-// countDelta takes the difference of what a daemon tells to what it told before.
+// countDelta adds the difference between a daemon's new report and its previous one.
 func (p *Planner) countDelta(daemon string, running map[Place]int) {
 	if before := p.demands[daemon]; before != nil {
 		p.countRunningOf(before.Running, -1)
@@ -63,7 +67,8 @@
 	p.countRunningOf(running, 1)
 }
 
-// countRunningOf adds what runs at each engine; adapters count for their model.
+// addRunning adds the running requests of each engine, multiplied by sign; requests for an
+// adapter count for its model.
 func (p *Planner) countRunningOf(running map[Place]int, sign int) {
 	for place, n := range running {
 		if w := p.workers[place.Endpoint.ID]; w != nil && !strings.Contains(place.Model, "/") {
@@ -72,30 +77,30 @@
 	}
 }
 
-// load returns the requests that run at an engine or wait there, with those that were
-// sent to it and that no daemon has told of yet.
+// load returns the number of requests that run or wait at an engine, including those
+// directed there that no daemon has reported yet.
 func (w *worker) load() int { return w.running + w.sent }
 
-// spreadCost is what a full engine counts against an empty one where both could begin
-// at once: as much as the load of an adapter, since each request slows the others a
-// little.
+// spreadCost is the cost of a full engine compared with an empty one if both could start
+// the request at once. It equals the load time of an adapter, since each request slows the
+// others down a little.
 const spreadCost = adapterLoad
 
-// startsIn estimates how long one more request waits for a slot of an engine: requests
-// queue beyond the slots, and as many slots come free in the time of a run as there are.
+// startsIn estimates how long one more request waits for a slot of an engine. Requests
+// beyond the slots queue, and all slots become free once in the mean duration of a request.
 func (p *Planner) startsIn(w *worker) time.Duration {
 	slots := p.capacity(w)
 	queued := max(0, w.load()+1-slots)
 	return time.Duration(float64(p.runTime()) * float64(queued) / float64(slots))
 }
 
-// loadCost is what an engine's load counts against sending a request there.
+// loadCost returns the cost that an engine's load adds to sending a request there.
 func (p *Planner) loadCost(w *worker) time.Duration {
 	full := min(1, float64(w.load())/float64(p.capacity(w)))
 	return p.startsIn(w) + time.Duration(full*float64(spreadCost))
 }
 
-// runTime returns how long requests run, as of the last step.
+// runTime returns the mean duration of a request as of the last planning step.
 func (p *Planner) runTime() time.Duration {
 	if p.draft.runTime == 0 {
 		return runTimeUnknown
--- a/coordination/residency/schedule.go
+++ b/coordination/residency/schedule.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// slot is when and where a wanted model will be loaded.
+// scheduledLoad is the planned load of a wanted model.
 type slot struct {
 	model   string
 	extra   bool
@@ -15,9 +15,9 @@
 	readyIn time.Duration
 }
 
-// schedule decides from scratch, most wanted first, which engine will have
-// each wanted model ready soonest. Nothing is bound to an engine before its
-// order is sent, so a better way that opens is taken.
+// schedule computes a new schedule. It assigns each wanted model, the most valuable first,
+// to the engine that can have it ready soonest. A model is bound to an engine only when its
+// order is sent, so a faster option that appears before then is used.
 func (p *Planner) schedule(d *draft) {
 	p.slots, p.slotsAt = p.slots[:0], d.now
 	for _, model := range p.wantedModels(d) {
@@ -28,8 +28,8 @@
 	}
 }
 
-// wantedModels returns the models to be loaded, the most wanted first, and
-// forgets those that nobody asks for any more.
+// wantedModels returns the models to load, the most valuable first, and drops those that
+// are no longer requested.
 func (p *Planner) wantedModels(d *draft) []string {
 	now := d.now
 	var list []string
@@ -48,9 +48,9 @@
 	return list[:min(len(list), scheduleMost)]
 }
 
-// weight is what loading a wanted model is worth. One more replica of a busy
-// model is worth what its requests weigh that run now, the more the fuller its
-// replicas are: daemons that find it loaded do not ask for it.
+// weight returns the value of loading a wanted model. The value of one more replica of a
+// busy model is that of its running requests, scaled by the utilization of its replicas:
+// daemons that find the model loaded send no Want call for it.
 func (p *Planner) weight(d *draft, model string) float64 {
 	if !p.wants[model].extra {
 		return p.value(d.now, model)
@@ -60,8 +60,9 @@
 	return max(busyWeight*active*full*full, p.pressureWeight(d.now, model))
 }
 
-// place chooses the engine that will have the model ready first. One without a copy is no
-// sooner than a load from the store takes, and is only looked at where the others are later.
+// placeModel chooses the engine that has the model ready first. Engines without a copy need
+// at least the time of a load from the store, so they are considered only if all others
+// take longer.
 func (p *Planner) place(d *draft, model string) (slot, bool) {
 	best, cost := p.soonest(d, model, slot{}, 0, func(l Level) bool { return l != Store })
 	if best.w == nil || cost >= p.conf.Engine.Models[model].LoadFromStore {
@@ -80,8 +81,8 @@
 	return best, true
 }
 
-// soonest returns the slot of least cost at the engines whose copy of the model lies at a
-// level that is asked for, or best if none costs less.
+// soonest returns the load of least cost at the engines whose copy of the model has a level
+// that match accepts, or best if none costs less.
 func (p *Planner) soonest(d *draft, model string, best slot, bestCost time.Duration, asked func(Level) bool) (slot, time.Duration) {
 	for _, w := range p.sorted {
 		if !w.usable() || !w.known || w.models[model] != nil || !asked(w.level(model)) {
--- a/coordination/residency/storeplaces.go
+++ b/coordination/residency/storeplaces.go
@@ -5,34 +5,37 @@
 	"time"
 )
 
-// StorePlaces is how many loads the weight store serves at full speed, as was learned.
-// Nothing tells it: beyond that number, all loads in progress take longer in proportion.
+// StoreConcurrency is the learned number of loads that the weight store serves at full
+// speed. The store does not declare it: beyond that number, all loads in progress slow down
+// in proportion.
 type StoreConcurrency struct {
-	// Places is the present estimate, one or more.
+	// Estimate is the current estimate, at least one.
 	Estimate int
-	// Most is the estimate that is not to be exceeded until Again: loads beside so many
-	// were seen to take longer.
+	// Max is an upper bound of the estimate until MaxUntil: loads slowed down when more
+	// than Max were in progress.
 	Max      int
 	MaxUntil time.Time
 }
 
 const (
-	// slowLoad is how much longer than declared a load must take to show that too many
-	// went on beside it; reports lag, and stores vary a little.
+	// slowLoadFactor is the ratio of the actual to the declared duration of a load from
+	// which too many loads are taken to run at once. It allows for the lag of reports and
+	// for small variations of the store.
 	slowLoad = 1.2
-	// mostKept is how long a bound that was seen is believed, before one load more is
-	// tried: a load may have been slow for another reason. Too many at once bring as many
-	// models in a time as the right number, each later.
+	// boundTTL is how long an observed bound is valid before one more load is tried, since
+	// a load may have been slow for another reason. Too many concurrent loads bring as many
+	// models in the same time as the right number, but each of them later.
 	mostKept = 20 * time.Second
 )
 
-// newStorePlaces returns what is believed before any load was seen.
+// newStoreConcurrency returns the estimate before any load was observed.
 func newStorePlaces(first int) StoreConcurrency {
 	return StoreConcurrency{Estimate: max(1, first), Max: math.MaxInt}
 }
 
-// took learns from a load that took a time, declared at full speed as full, with beside
-// loads going on at a time on average, itself among them. It may not have ended yet.
+// observe updates the estimate from one load. The load has taken elapsed so far, is
+// declared to take full at full speed, and has run with concurrent loads in progress on
+// average, including itself. It may still be in progress unless ended is set.
 func (s *StoreConcurrency) took(now time.Time, elapsed, full time.Duration, beside float64, ended bool) {
 	if full <= 0 {
 		return
@@ -48,17 +51,18 @@
 	case now.After(s.MaxUntil) && s.Max < math.MaxInt:
 		s.Max, s.MaxUntil = s.Max+1, now.Add(mostKept)
 	case beside > float64(s.Estimate)-0.5 && s.Estimate < s.Max:
-		s.Estimate++ // all places were taken, and the load was as fast as alone
+		s.Estimate++ // the store was fully used, and the load still ran at full speed
 	}
 }
 
-// storeLoad follows one load from the store.
+// storeLoad holds the measurements of one load from the store.
 type storeLoad struct {
 	began  time.Time
-	beside float64 // loads in progress, over the seconds since
+	beside float64 // integral of the number of concurrent loads over time, in load seconds
 }
 
-// watchStore counts, for each load from the store that is in progress, those beside it.
+// watchStore updates the number of concurrent loads for each load from the store in
+// progress.
 func (p *Planner) watchStore(now time.Time) {
 	elapsed := max(0, now.Sub(p.watchedAt))
 	p.watchedAt = now
@@ -70,22 +74,24 @@
 	}
 }
 
-// learnPlaces learns from a report by which a load from the store has ended or goes on:
-// one that is overdue tells that there are too many beside it.
+// learnStoreConcurrency updates the estimate from a report which shows that a load from the
+// store has ended or continues. An overdue load shows that there are too many concurrent
+// loads.
 func (p *Planner) learnPlaces(now time.Time, o *pending, ended bool) {
 	elapsed := now.Sub(o.store.began)
 	if !o.loadsFromStore() || o.store.began.IsZero() || elapsed <= 0 {
 		return
 	}
-	// What a report tells was true a while ago.
+	// A report describes the engine's state up to reportLag ago.
 	took := max(0, elapsed-reportLag)
 	p.places.took(now, took, p.conf.Engine.Models[o.order.Model].LoadFromStore, o.store.beside/elapsed.Seconds(), ended)
 }
 
-// Places returns what was learned of the weight store.
+// StoreConcurrency returns the learned concurrency of the weight store.
 func (p *Planner) StoreConcurrency() StoreConcurrency { return p.places }
 
-// SetPlaces takes what a former coordinator has learned of the weight store.
+// SetStoreConcurrency sets the concurrency of the weight store that a former coordinator
+// has learned. Zero or less changes nothing.
 func (p *Planner) SetStoreConcurrency(places int) {
 	if places > 0 {
 		p.places.Estimate = places
--- a/coordination/residency/storeplaces_test.go
+++ b/coordination/residency/storeplaces_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// shareStore makes loads from the store take longer beyond a number of places, as the
-// platform's pages say.
+// shareStore slows down loads from the store when more than the given number are in
+// progress, as the platform's store does.
 func (w *world) shareStore(places int) {
 	w.beforeStep = func(step time.Duration) {
 		n := 0
@@ -24,8 +24,8 @@
 	}
 }
 
-// However many loads the weight store serves at once, the planner learns it from how
-// long they take, from the same start.
+// The planner learns how many loads the weight store serves at once from their duration,
+// starting from the same estimate.
 func TestPlacesOfTheStoreAreLearned(t *testing.T) {
 	for _, places := range []int{1, 2, 4, 9} {
 		w := newWorld(0, 24)
@@ -44,7 +44,7 @@
 			w.run(time.Second)
 		}
 		if got := w.p.StoreConcurrency().Estimate; got < places || got > places+1 {
-			t.Errorf("with %d places, %d were learned", places, got)
+			t.Errorf("store concurrency %d: learned %d", places, got)
 		}
 	}
 }
--- a/coordination/residency/tell.go
+++ b/coordination/residency/tell.go
@@ -2,48 +2,53 @@
 
 import "time"
 
-// TellEvery is how often a daemon tells a coordinator what runs and waits, when
-// nothing urges it and they are not so many that TellSoon is longer.
+// DemandInterval is the interval at which a daemon reports its running and waiting requests
+// to a coordinator if nothing makes an earlier report necessary. With many daemons,
+// DemandDelay is longer and applies instead.
 const DemandInterval = 400 * time.Millisecond
 
 const (
-	// tellLeast is the least time after which a daemon tells that a model has
-	// begun or ceased to run at an endpoint. What changes meanwhile goes along.
+	// minDemandDelay is the minimum time until a daemon reports that a model has started or
+	// stopped running requests at an endpoint. Changes in the meantime go into the same
+	// report.
 	tellLeast = 40 * time.Millisecond
-	// tellsMost is the number of such messages a second that a coordinator is to
-	// get from all daemons: each costs it some 0.1 ms of processor time, and a
-	// host may have a fifth of a core.
+	// maxDemandRate is the maximum number of such reports that a coordinator should receive
+	// from all daemons per second. Each costs it about 0.1 ms of processor time, and a host
+	// may have a fifth of a core.
 	tellsMost = 300
-	// freedMost is the same for messages that a place is free: there are as many as
-	// requests for rare models, and each brings the next model's load forward by up
-	// to TellSoon, which is 0.65 s with 195 daemons, beside runs of two seconds.
+	// maxFreedRate is the same for reports that a model can be replaced. There are as many
+	// of them as requests for rare models, and each brings the load of the next model
+	// forward by up to DemandDelay. That is 0.65 s with 195 daemons, where a request runs
+	// for two seconds.
 	freedMost = 600
 )
 
-// TellSoon returns how soon each of so many daemons tells that a model has begun
-// or ceased to run at an endpoint.
+// DemandDelay returns how soon each of the given number of daemons reports that a model has
+// started or stopped running requests at an endpoint.
 func DemandDelay(daemons int) time.Duration {
 	return max(tellLeast, time.Duration(daemons)*time.Second/tellsMost)
 }
 
-// Pace decides when a daemon tells a coordinator of its requests.
+// DemandTimer determines when a daemon reports its requests to a coordinator.
 type DemandTimer struct {
-	told time.Time // last
+	told time.Time // time of the last report
 	due  time.Time
 }
 
-// Told notes that the daemon has told all, and sets when it is due again at the latest.
+// ObserveSent records that the daemon has sent a full report, and sets the latest time for
+// the next one.
 func (p *DemandTimer) ObserveSent(now time.Time, daemons int) {
 	p.told, p.due = now, now.Add(max(DemandInterval, DemandDelay(daemons)))
 }
 
-// Turned notes that a model has begun or ceased to run at an endpoint.
+// ObserveChange records that a model has started or stopped running requests at an
+// endpoint.
 func (p *DemandTimer) ObserveChange(now time.Time, daemons int) {
 	p.before(now.Add(DemandDelay(daemons)))
 }
 
-// Freed notes that a model has ceased to run at an endpoint that a coordinator has named
-// for it: another may be loaded in its place.
+// ObserveFreed records that a model has stopped running requests at an endpoint that a
+// coordinator had returned for it: another model may be loaded in its place.
 func (p *DemandTimer) ObserveFreed(now time.Time, daemons int) {
 	gap := time.Duration(daemons) * time.Second / freedMost
 	at := now.Add(tellLeast)
@@ -59,5 +64,5 @@
 	}
 }
 
-// Due returns when the daemon is to tell.
+// Due returns when the next report is due.
 func (p *DemandTimer) Due() time.Time { return p.due }
--- a/coordination/residency/tell_test.go
+++ b/coordination/residency/tell_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A freed place is told of within tellLeast while there are few of them, and all daemons
-// together tell no more of them than a coordinator is to get.
+// A daemon reports within minDemandDelay that a model can be replaced, while such reports
+// are few, and all daemons together send no more of them than a coordinator should receive.
 func TestPaceOfWordsOnDemand(t *testing.T) {
 	for _, c := range []struct {
 		daemons                   int
@@ -35,7 +35,7 @@
 			p.ObserveFreed(now, c.daemons)
 		}
 		if got := p.Due().Sub(now); got > c.wantWithin {
-			t.Errorf("%+v: due in %v", c, got)
+			t.Errorf("%+v: due in %v, later than wanted", c, got)
 		}
 	}
 	var p DemandTimer
@@ -48,14 +48,15 @@
 		}
 	}
 	if most := 10 * freedMost / 195; told > most+1 {
-		t.Errorf("one of 195 daemons told %d times in 10 s, want at most %d", told, most)
+		t.Errorf("one of 195 daemons sent %d reports in 10 s, want at most %d", told, most)
 	}
 }
 
-// Load: hundreds of daemons and more rare models than places, each asked for by one
-// request of two seconds. The place of a request is free for the next model as soon as
-// its daemon has said so: with the time that all daemons together take to tell as the
-// measure, it stood idle for 0.8 s more, a third of what the request had run.
+// Load: hundreds of daemons and more rare models than there is room for, each requested by
+// a single request of two seconds. A model is replaced by the next one as soon as its
+// daemon has reported the end of the request. When the daemon waited for the regular
+// report, whose interval grows with the number of daemons, the model stood idle for 0.8 s
+// more, a third of the time that its request had run.
 func TestPlaceIsFreeAtOnceAmongManyDaemons(t *testing.T) {
 	w := newWorld(4, 1)
 	w.engines[0].onDisk["m03"] = true
@@ -67,7 +68,7 @@
 	for _, m := range []string{"m00", "m01", "m02"} {
 		w.p.Want(w.now, Want{Model: m})
 	}
-	for range 4 { // two seconds of running, told as often as by 195 daemons
+	for range 4 { // two seconds of running requests, reported at the interval of 195 daemons
 		for i := range 195 {
 			w.p.ReceiveDemand(w.now, fmt.Sprint("d", i), Demand{})
 		}
@@ -82,6 +83,6 @@
 	w.p.ReceiveDemand(w.now, "d0", Demand{})
 	w.run(100 * time.Millisecond)
 	if !w.engines[0].busy || w.engines[0].during.Model != "m03" {
-		t.Fatal("the place is not taken 100 ms after its daemon has told that it is free")
+		t.Fatal("m03 is not being loaded 100 ms after its daemon has reported the end of the request")
 	}
 }
--- a/coordination/residency/types.go
+++ b/coordination/residency/types.go
@@ -1,8 +1,9 @@
-// Package residency decides which models and adapters each engine of a
-// service holds: what is loaded where, from which copy, and what makes room.
-// It is a state machine without I/O, run by the daemon that holds the
-// service's lease. Copies lie at three levels: loaded, in an engine's host
-// memory or on its disk, and in the weight store.
+// Package residency plans which models and adapters are loaded at each engine of a service:
+// where to load, from which copy, and what to unload to make room. The planner is a state
+// machine without I/O, run by the daemon that holds the service's lease: callers pass
+// events and the time, and carry out the orders and probes it returns. A copy of a model
+// lies at one of three distances: loaded, in an engine's host memory or on its disk, or in
+// the weight store.
 package residency
 
 import (
@@ -18,60 +19,61 @@
 	Address  string
 	Unload   bool
 	Model    string
-	Adapter  string // empty for the model itself
-	// Level is where the copy of a load lies.
+	Adapter  string // empty for an order on the model itself
+	// Level is the location of the copy that a load reads.
 	Level Level
-	// Expect is the number of orders that the engine must have accepted
-	// before; the engine refuses the order otherwise, also when it arrives
-	// late.
+	// Expect is the number of orders that the engine must have accepted before this one. An
+	// engine with any other count refuses the order, so that an order which arrives late
+	// has no effect.
 	Expect uint64
-	Holder string // the host that sends it
-	Fence  uint64 // rises with each new holder
+	Holder string // host that sends the order
+	Fence  uint64 // increases with each new lease holder
 }
 
-// Outcome is how an order ended.
+// Outcome is the result of sending an order.
 type Outcome int
 
 // The outcomes of an order.
 const (
-	// Accepted: the engine carries the order out.
+	// Accepted: the engine carries out the order.
 	Accepted Outcome = iota
-	// Holds: the engine is already in the ordered state.
+	// AlreadyDone: the engine is already in the requested state.
 	AlreadyDone
-	// Busy: another order is in progress, or the engine has accepted orders
-	// that this daemon does not know of.
+	// Busy: another order is in progress, or the engine has accepted orders that this
+	// planner does not know of.
 	Busy
-	// Refused: the engine will never carry the order out.
+	// Refused: the engine will never carry out the order.
 	Refused
-	// Unanswered: the engine may carry the order out, now or later.
+	// Unanswered: the engine may carry out the order, now or later.
 	Unanswered
-	// Unsent: the order has certainly not left this daemon.
+	// Unsent: the order has not left this daemon.
 	Unsent
 )
 
-// String returns the name used in logs.
+// String returns the name of the outcome as it appears in logs.
 func (o Outcome) String() string {
 	return [...]string{"accepted", "holds", "busy", "refused", "unanswered", "unsent"}[o]
 }
 
-// Report is an engine's own word on its state, some hundred milliseconds old.
+// Report is the state of an engine as the engine itself describes it, some hundred
+// milliseconds old.
 type Report struct {
 	Endpoint        fleet.Incarnation
-	Sequence        uint64 // orders accepted
+	Sequence        uint64 // number of accepted orders
 	Busy            bool   // an order is in progress
 	Models          []fleet.LoadedModel
-	LoadingAdapters []AdapterRef // adapters on their way
+	LoadingAdapters []AdapterRef // adapters that are being loaded
 	InMemory        []string
 	OnDisk          []string
 }
 
-// AdapterRef names an adapter of a model.
+// AdapterRef identifies an adapter of a model.
 type AdapterRef struct{ Model, Adapter string }
 
-// Level is the nearest place of a copy of a model at an engine.
+// Level is the location of the nearest copy of a model, as seen from an engine.
 type Level int
 
-// The levels, nearest first.
+// Levels, nearest first.
 const (
 	Resident Level = iota // loaded
 	Memory
@@ -79,67 +81,69 @@
 	Store
 )
 
-// String returns the name used in logs.
+// String returns the name of the level as it appears in logs.
 func (l Level) String() string { return [...]string{"resident", "memory", "disk", "store"}[l] }
 
-// Want is a request's need for a model.
+// Want describes a request that needs a model or an adapter.
 type Want struct {
 	Model   string
 	Adapter string
-	Rank    int // of the request; 0 is first
-	// Daemon is who asks, as it names itself when it tells its demand.
+	Rank    int // rank of the request; 0 is the most urgent
+	// Daemon is the daemon that serves the request, under the name that it uses in its
+	// demand reports.
 	Daemon string
-	// Avoid is an endpoint that has just failed for this request; it is named
-	// again only if no other holds the model, and after a pause.
+	// Avoid is an endpoint that has just failed this request. It is returned again only if
+	// no other endpoint holds the model, and then after a pause.
 	Avoid fleet.Incarnation
-	// Unreachable says that the connection to Avoid could not be opened.
+	// Unreachable reports that no connection to Avoid could be opened.
 	Unreachable bool
-	// Absent is an endpoint that has just said that it does not hold the model
-	// or adapter.
+	// MissingAt is an endpoint that has just answered that it does not hold the model or
+	// adapter.
 	MissingAt fleet.Incarnation
-	// Full are endpoints that hold the model and have no room now within the limits that they
-	// name themselves.
+	// Full lists endpoints that hold the model but have no capacity left now under the rate
+	// limits that they report.
 	Full []fleet.Incarnation
 }
 
-// Place is a model, or an adapter as MODEL/ADAPTER, at an endpoint.
+// Place identifies a model, or an adapter as MODEL/ADAPTER, at an endpoint.
 type Place struct {
 	Endpoint fleet.Incarnation
 	Model    string
 }
 
-// Demand is what one daemon says of its requests.
+// Demand is the load of one daemon as that daemon reports it.
 type Demand struct {
-	Active  map[string]int // requests running or waiting, by model
-	Running map[Place]int  // requests that an endpoint was sent and has not ended
-	// First tells how fast endpoints began to answer since the daemon said so
-	// last; adapters count for their model.
+	Active  map[string]int // running and waiting requests, by model
+	Running map[Place]int  // requests sent to an endpoint that have not ended
+	// FirstEvents counts how quickly endpoints began to answer since the daemon's previous
+	// report. Requests for an adapter count for its model.
 	FirstEvents map[Place]FirstEvents
 }
 
-// FirstEvents counts first events of answers.
+// FirstEvents counts the first events of answers.
 type FirstEvents struct {
 	Count int
-	Slow  int // came near the latency objective or after it
-	Rank  int // of the most urgent of these requests; 0 is first
+	Slow  int // those close to the latency objective or beyond it
+	Rank  int // of the most urgent of these requests; 0 is the most urgent
 }
 
-// Answer says where a wanted model is or will be.
+// Answer states where a model is or will be available.
 type Answer struct {
 	Endpoint fleet.Incarnation
-	// ReadyIn is how long until the endpoint can start a request; zero when it
-	// can now.
+	// ReadyIn is the time until the endpoint can start a request; zero if it can start one
+	// now.
 	ReadyIn time.Duration
-	// Level is where the copy comes from.
+	// Level is the location of the copy that is used.
 	Level Level
-	// StartsIn estimates how long a request that is sent there now waits for a slot.
+	// StartsIn estimates how long a request sent to the endpoint now waits for a free slot.
 	StartsIn time.Duration
-	// Refused is set when the model cannot be had; ReadyIn then says when
-	// to ask again, except without a coordinator: who asked estimates that.
+	// Refused is the reason if the model cannot be provided, otherwise empty. ReadyIn is
+	// then the time until a retry is worthwhile, except without a coordinator: the caller
+	// estimates that time itself.
 	Refused string
 }
 
-// Reasons of a refused Answer.
+// Reasons for which an Answer is refused.
 const (
 	RefusedNoCoordinator = "no-coordinator"
 	RefusedNoModel       = "unknown-model"
@@ -149,109 +153,110 @@
 
 // Options configure a Planner.
 type Options struct {
-	Holder string // this host
-	// StoreAtOnce is the number of loads that the weight store is taken to serve at
-	// full speed until loads have shown it.
+	Holder string // name of this host
+	// InitialStoreConcurrency is the assumed number of loads that the weight store serves
+	// at full speed, until observed loads correct it.
 	InitialStoreConcurrency int
-	// RateWindow and RateFactor bound the loads from the store that begin
-	// within a window, beside Engine.LoadsPerSecond.
+	// RateWindow and RateFactor limit how many loads from the store may start within a
+	// window, in addition to Engine.LoadsPerSecond.
 	RateWindow time.Duration
 	RateFactor float64
 }
 
-// Config is the service that is planned for.
+// Config describes the service to plan for.
 type Config struct {
 	Service string
 	Engine  *routing.Engine
 }
 
-// Ready is what the driver has to do now.
+// Ready lists the actions that the driver has to carry out now.
 type Ready struct {
 	Orders []Order
-	Probes []fleet.Incarnation // endpoints whose report is wanted
+	Probes []fleet.Incarnation // endpoints to request a report from
 }
 
 const (
-	// replicaShare is the part of an engine's slots that the running requests of one
-	// replica are meant to take: each more slows all, and the engine's other models
-	// need some.
+	// replicaShare is the share of an engine's slots that the running requests of one
+	// replica should occupy: each additional request slows the others down, and the
+	// engine's other models need slots too.
 	replicaShare = 0.625
-	// severalFrom is the number of running requests from which a model has a
-	// second replica, so that the loss of one engine costs no load.
+	// secondReplicaFrom is the number of running requests from which a model gets a second
+	// replica, so that no load is needed when one engine fails.
 	severalFrom = 8
-	// idleMargin is added to the time in which daemons tell that a request runs
-	// before a model counts as idle that was named for one: the way of the
-	// request and of the message.
+	// idleMargin is added to the interval at which daemons report running requests before a
+	// model that was returned in an answer counts as idle. It covers the way of the request
+	// to the endpoint and of the report to the coordinator.
 	idleMargin = 160 * time.Millisecond
-	// keepWaiting is how long a model is kept after it is ready for a request
-	// that waits for it.
+	// keepForWaiting is how long a model stays loaded after it is ready for a waiting
+	// request.
 	keepWaiting = 400 * time.Millisecond
-	// keepReturning is how long it is kept for a caller that was told when to
-	// come back, as those are that would wait longer than returnsAfter.
+	// keepForReturning is the same for a caller that was refused with a retry delay.
+	// Callers that would have to wait longer than returnThreshold are refused.
 	keepReturning = 1200 * time.Millisecond
 	returnsAfter  = 1500 * time.Millisecond
-	// demandLife is how long a daemon's report of its demand counts.
+	// demandTTL is how long a daemon's demand report is valid.
 	demandLife = 3 * time.Second
-	// adapterLoad is the estimate of an adapter's load time; the desired state
-	// does not tell it, engines take some milliseconds to some tens.
+	// adapterLoad estimates the load time of an adapter. The desired state does not declare
+	// it; engines take between a few and some tens of milliseconds.
 	adapterLoad = 20 * time.Millisecond
-	// orderMargin is added to a load's declared time before the model counts
-	// as ready.
+	// orderMargin is added to the declared time of a load before the model counts as ready.
 	orderMargin = 30 * time.Millisecond
-	// reportLag is how old an engine's report is, at most.
+	// reportLag is the maximum age of an engine's report.
 	reportLag = 250 * time.Millisecond
-	// silentReports is the number of reports in a row that do not come after
-	// which an engine counts as down.
+	// maxMissedReports is the number of consecutive missing reports after which an engine
+	// counts as down.
 	silentReports = 2
-	// probeMost and probeDoublings bound the growing pause between reports
-	// that do not come.
+	// maxProbeDelay and maxProbeDoublings limit the growing delay between probes that are
+	// not answered.
 	probeMost      = 2 * time.Second
 	probeDoublings = 3
-	// activeCost is what an engine's models in use count against a long load
-	// there, which keeps their adapters out meanwhile.
+	// activeCost is the cost, for each model in use at an engine, of a load from the store
+	// there: the engine takes no adapters for these models while it loads.
 	activeCost = 400 * time.Millisecond
-	// avoidedCost keeps a request away from the endpoint that has just failed
-	// it, unless no other holds the model: it then waits for avoidedPause, in
-	// which a full engine ends some requests.
+	// avoidedCost keeps a request away from the endpoint that has just failed it, unless no
+	// other endpoint holds the model. In that case the request waits for avoidedPause, in
+	// which a full engine completes some requests.
 	avoidedCost  = time.Hour
 	avoidedPause = 250 * time.Millisecond
-	// retryBusy is the pause after an order that found the engine busy.
+	// busyRetryDelay is the delay after an order that found the engine busy.
 	retryBusy = 80 * time.Millisecond
-	// valueHalfLife is how fast old wants lose weight against new ones: some
-	// loads from the store.
+	// valueHalfLife is the half-life of the weight of past requests for a model. It spans
+	// several loads from the store.
 	valueHalfLife = 8 * time.Second
-	// rankWeight is how much more a request weighs than one of the next rank.
+	// rankWeight is the ratio between the weights of a request and of one of the next lower
+	// rank.
 	rankWeight = 8
-	// ranks is the number of ranks that weigh differently.
+	// ranks is the number of ranks with different weights.
 	ranks = 4
-	// busyDoublings bounds the growing pause between such orders.
+	// maxBusyMultiple limits the delay after consecutive orders that found the engine busy,
+	// as a multiple of busyRetryDelay.
 	busyDoublings = 4
-	// refusedMost bounds how long an engine that refuses orders is taken to go
-	// on with what it does.
+	// maxBusyEstimate limits the estimate of how long an engine that refuses orders stays
+	// busy, as a multiple of busyRetryDelay.
 	refusedMost = 12
-	// wantLife is how long a model is still to be loaded after a request asked
-	// for it: callers that were sent away come back within it.
+	// wantTTL is how long a model remains wanted after the last request for it. Callers
+	// that were refused retry within this time.
 	wantLife = 9 * time.Second
-	// scheduleMost bounds the models that are scheduled at a time.
+	// maxScheduled limits the number of models in a schedule.
 	scheduleMost = 64
-	// scheduleLife is how long a schedule is good for answers.
+	// scheduleTTL is how long a schedule may be used to answer requests.
 	scheduleLife = 20 * time.Millisecond
-	// busyWeight is what a running request of a busy model weighs for one more
-	// replica: as much as a want of the second rank.
+	// busyWeight is the weight that each running request of a busy model adds to the value
+	// of one more replica. It equals the weight of a request of the second rank.
 	busyWeight = 64
-	// retryUnanswered is the pause after an order without an answer.
+	// unansweredRetryDelay is the delay after an order that was not answered.
 	retryUnanswered = 100 * time.Millisecond
-	// settleFor is how long no engine must have been new before models are
-	// brought near that nobody asks for: engines register within some
-	// heartbeats of their start, and the model may be on one of them.
+	// settleTime is how long no new engine must have appeared before copies of models
+	// without requests are fetched from the store. Engines register within some heartbeats
+	// of their start, and a new one may hold a copy of the model.
 	settleFor = 1500 * time.Millisecond
-	// copiesEvery is the pause between two looks for models without a near copy:
-	// each goes over all copies, and a load takes seconds.
+	// copyInterval is the interval between two searches for models without a nearby copy. A
+	// search goes over all copies, and a load takes seconds.
 	copiesEvery = 250 * time.Millisecond
-	// lateOrderLife is how long after it was sent an order without an answer may
-	// still be carried out.
+	// lateOrderTTL is how long after it was sent an unanswered order may still be carried
+	// out.
 	lateOrderLife = 15 * time.Second
-	// loadOverdue is how long after its expected end a load that no report
-	// confirms is given up on.
+	// loadTimeout is how long after its expected end a load is given up if no report
+	// confirms it.
 	loadOverdue = 4 * time.Second
 )
--- a/coordination/residency/value.go
+++ b/coordination/residency/value.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// value is what a model's recent wants weigh together.
+// value is the decaying sum of the weights of the recent requests for a model.
 type value struct {
 	sum float64
 	at  time.Time
 }
 
-// wanted adds a request's weight to its model.
+// addValue adds the weight of a request to the value of its model.
 func (p *Planner) wanted(now time.Time, want Want) {
 	v := p.values[want.Model]
 	if v == nil {
@@ -21,7 +21,7 @@
 	v.sum, v.at = v.now(now)+rankValue(want.Rank), now
 }
 
-// rankValue is what one request of a rank weighs.
+// rankValue returns the weight of one request of a rank.
 func rankValue(rank int) float64 {
 	return math.Pow(rankWeight, float64(ranks-1-min(ranks-1, max(0, rank))))
 }
@@ -30,7 +30,8 @@
 	return v.sum * math.Exp2(-now.Sub(v.at).Seconds()/valueHalfLife.Seconds())
 }
 
-// value returns what a model's recent wants weigh.
+// value returns the sum of the weights of the recent requests for a model, decayed to the
+// present.
 func (p *Planner) value(now time.Time, model string) float64 {
 	if v := p.values[model]; v != nil {
 		return v.now(now)
--- a/coordination/residency/victims.go
+++ b/coordination/residency/victims.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// room is what making room for a model at an engine takes.
+// room describes the unloads that make room for a model at an engine.
 type room struct {
-	wait time.Duration // until the last model that makes way can be unloaded
-	cost time.Duration // a penalty for what is lost
+	wait time.Duration // time until the last victim can be unloaded
+	cost time.Duration // penalty for the loss of the victims
 }
 
-// roomFor returns what it takes to make room for a model, beside the memory
-// that other loads will take; false when there will be none soon.
+// roomFor returns how to make room for a model in addition to the memory reserved for
+// scheduled loads. It returns false if there will be no room soon.
 func (p *Planner) roomFor(d *draft, w *worker, model string) (room, bool) {
 	e := d.engines[w]
 	need := e.memory + e.reserved + p.conf.Engine.Models[model].SizeMB
@@ -32,15 +32,15 @@
 	return room{}, false
 }
 
-// victim is a model that may make way.
+// victim is a model that may be unloaded.
 type victim struct {
 	name string
-	wait time.Duration // until it can be unloaded; zero: now
-	cost time.Duration // of its loss
+	wait time.Duration // time until it can be unloaded; zero if now
+	cost time.Duration // cost of its loss
 }
 
-// victimsOf returns the models of an engine that may be unloaded, the cheapest
-// first: replicas beyond what the demand asks for, then the longest unused.
+// victimsOf returns the models of an engine that may be unloaded, the cheapest first:
+// replicas beyond the number needed, then the least recently used models.
 func (p *Planner) victimsOf(d *draft, w *worker) []victim {
 	e := d.engines[w]
 	if e.derived {
@@ -60,16 +60,17 @@
 }
 
 const (
-	// idleCost is the most that an idle model costs as a victim, so that the
-	// time to a load decides first.
+	// maxIdleCost is the maximum cost of an idle model as a victim. It is low, so that the
+	// time until the load comes first.
 	idleCost = 100 * time.Millisecond
-	// idleGain is the most that a long pause takes off, a thousandth of it.
+	// maxIdleDiscount limits the reduction of that cost, which is a thousandth of the idle
+	// time.
 	idleGain = 90 * time.Millisecond
 )
 
-// victim returns what unloading a model takes; false when it stays. A model
-// that single requests use stays until they have ended: an unload would wait for
-// them and keep the engine from all else.
+// victim returns what the unload of a model takes, or false if the model must stay. A model
+// that only a few requests use stays until they have ended: its unload would wait for them
+// and block all other orders to the engine.
 func (p *Planner) victim(d *draft, w *worker, name string, r *replica) (victim, bool) {
 	if w.order != nil && w.order.order.Model == name && w.order.order.Unload {
 		return victim{}, false
@@ -78,7 +79,7 @@
 	idle := d.now.Sub(r.lastUse)
 	switch {
 	case d.replicas[name] > max(1, d.needed(name)):
-		return v, v.wait == 0 // in use, it goes on being sent requests
+		return v, v.wait == 0 // only if unused: a replica in use keeps receiving requests
 	case d.active[name] == 0:
 		v.cost = idleCost - max(0, min(idleGain, idle/1000))
 		return v, true
@@ -89,7 +90,7 @@
 	return victim{}, false
 }
 
-// usedFor estimates how long a model will still be used at an engine.
+// inUseFor estimates how long a model will still be used at an engine.
 func (p *Planner) usedFor(d *draft, w *worker, name string, r *replica) time.Duration {
 	t := max(0, r.keepUntil.Sub(d.now), r.readyAt.Sub(d.now), p.idleAfter()-d.now.Sub(r.lastNamed), endedAfter-d.now.Sub(r.lastUse))
 	if d.active[name] > 0 || d.running[Place{w.life, name}] > 0 {
--- a/coordination/residency/want.go
+++ b/coordination/residency/want.go
@@ -6,8 +6,8 @@
 	"github.com/doorvalve/doorvalve/state/fleet"
 )
 
-// Want answers where a request for a model should go, and plans a load where
-// none holds it.
+// Want returns where to send a request for a model, and plans a load if no engine holds the
+// model.
 func (p *Planner) Want(now time.Time, want Want) Answer {
 	if p.conf.Engine == nil {
 		return Answer{Refused: RefusedNoModel}
@@ -39,9 +39,8 @@
 	return a
 }
 
-// unreachable takes a daemon's word that it cannot connect to an engine. The
-// engine is asked for a report at once, and one that does not come is enough to
-// take it for down.
+// observeUnreachable records that a daemon cannot connect to an engine. The engine is
+// probed immediately, and a single missing report is then enough to count it as down.
 func (p *Planner) unreachable(now time.Time, life fleet.Incarnation) {
 	w := p.workerOf(life)
 	if w == nil || w.down || now.Sub(w.heardAt) < reportLag {
@@ -51,8 +50,9 @@
 	w.probe = now
 }
 
-// absent takes an engine's word that it does not hold what it was thought to.
-// A report has to tell what it does hold.
+// observeMissing records that an engine has answered that it does not hold a model or
+// adapter which it was expected to hold. The engine is probed to find out what it does
+// hold.
 func (p *Planner) absent(now time.Time, want Want) {
 	w := p.workerOf(want.MissingAt)
 	if w == nil {
@@ -63,7 +63,7 @@
 		return
 	}
 	if a := r.adapters[want.Adapter]; a != nil && want.Adapter != "" {
-		// It may be on its way and hold its slot: only a report takes it away.
+		// The adapter may be loading and occupy its slot, so only a report removes it.
 		a.readyAt = maxTime(a.readyAt, now.Add(2*adapterLoad))
 		w.probe = now
 		return
@@ -72,7 +72,7 @@
 	w.probe = now
 }
 
-// wantResident finds an engine that holds the model or is loading it.
+// findResident returns an engine that holds the model or is loading it.
 func (p *Planner) wantResident(now time.Time, want Want) (Answer, bool) {
 	var best *worker
 	bestCost := time.Duration(0)
@@ -108,8 +108,7 @@
 	return a, true
 }
 
-// keepFor returns how long a model is kept for a request that can start in
-// readyIn.
+// keepFor returns how long a model stays loaded for a request that can start in readyIn.
 func keepFor(readyIn time.Duration) time.Duration {
 	if readyIn > returnsAfter {
 		return readyIn + keepReturning
@@ -117,8 +116,9 @@
 	return readyIn + keepWaiting
 }
 
-// residentCost ranks the engines that hold a model: those that are ready
-// first, those with the adapter before others.
+// residentCost returns the cost of an engine that holds the model: engines that are ready
+// come first, and those with the adapter come before others. It returns false if the engine
+// lacks the adapter and cannot be ordered to load it.
 func (p *Planner) residentCost(now time.Time, w *worker, r *replica, want Want) (time.Duration, bool) {
 	cost := max(0, r.readyAt.Sub(now))
 	if want.Adapter == "" {
@@ -127,7 +127,7 @@
 	if a := r.adapters[want.Adapter]; a != nil && !a.leaving {
 		return max(cost, a.readyAt.Sub(now)), true
 	}
-	// An engine takes no adapter while it carries out another order.
+	// An engine accepts no adapter while it carries out another order.
 	cost = max(cost, w.freeIn(now))
 	if w.plans(want.Model, want.Adapter) {
 		return cost + adapterLoad, true
@@ -135,11 +135,12 @@
 	if !p.lease.Held {
 		return 0, false
 	}
-	// Engines with fewer adapters first, so that they spread.
+	// Engines with fewer adapters come first, to spread adapters evenly.
 	return cost + adapterLoad + time.Duration(w.heldAdapters()+len(w.adapters))*time.Millisecond, true
 }
 
-// heldAdapters counts the adapters that hold a slot of the engine.
+// heldAdapters counts the occupied adapter slots of the engine, including those of orders
+// that may still arrive.
 func (w *worker) heldAdapters() int {
 	n := 0
 	for _, r := range w.models {
@@ -156,12 +157,12 @@
 	return n
 }
 
-// wantAdapter plans the adapter's load where it is missing and returns the
-// time until it is there.
+// planAdapter queues the load of the adapter if it is missing, and returns the time until
+// the adapter is ready.
 func (p *Planner) wantAdapter(now time.Time, w *worker, r *replica, want Want) time.Duration {
 	if a := r.adapters[want.Adapter]; a != nil {
 		if a.leaving {
-			return reportLag // it has to go before it can come again
+			return reportLag // the unload must complete before the adapter can be loaded again
 		}
 		a.lastUse = now
 		return max(0, a.readyAt.Sub(now))
@@ -172,8 +173,8 @@
 	return max(w.freeIn(now), p.lease.OrdersFrom.Sub(now)) + adapterLoad
 }
 
-// freeIn returns how long the engine's order in progress will take. One that
-// has refused orders goes on with something that takes longer than was thought.
+// freeIn estimates how long the engine's order in progress will take. An engine that has
+// refused orders is busy for longer than estimated.
 func (w *worker) freeIn(now time.Time) time.Duration {
 	t := max(0, w.notTo.Sub(now), retryBusy*time.Duration(min(w.refused, refusedMost)))
 	if w.order != nil {
@@ -182,7 +183,8 @@
 	return t
 }
 
-// wantLoad has the model loaded and says where and when that will be.
+// planLoad adds the model to the wanted models, and returns where and when it will be
+// ready.
 func (p *Planner) wantLoad(now time.Time, want Want) (Answer, bool) {
 	w := p.wants[want.Model]
 	if w == nil {
@@ -202,9 +204,9 @@
 	return Answer{}, false
 }
 
-// roomIn estimates when there will be room for a model that the schedule has no
-// place for: the first engine that has done what is ahead lets requests run
-// before it takes another model.
+// roomIn estimates when there will be room for a model that the schedule has no engine for:
+// the first engine to finish its scheduled work runs requests for a while before it loads
+// another model.
 func (p *Planner) roomIn() time.Duration {
 	first := time.Duration(-1)
 	for _, w := range p.sorted {
--- a/coordination/retry/retry.go
+++ b/coordination/retry/retry.go
@@ -1,30 +1,30 @@
-// Package retry bounds the retries of a daemon.
+// Package retry limits the number of retries of a daemon.
 package retry
 
 import "sync/atomic"
 
-// Budget lets retries grow only with the requests, so that a failing
-// endpoint is not buried under them. It is safe for concurrent use.
+// Budget limits retries to a share of the requests, so that a failing endpoint is not
+// flooded with them. It is safe for concurrent use.
 type Budget struct {
 	credit  atomic.Int64 // in thousandths of a retry
-	earn    int64        // by each request
-	mostNow atomic.Int64 // bound of credit
+	earn    int64        // credit earned by each request
+	mostNow atomic.Int64 // upper bound of credit
 }
 
 const (
-	perRetry = 1000 // thousandths spent by each retry
+	perRetry = 1000 // credit spent by each retry
 
-	// defaultRatio is the retries earned by each request.
+	// defaultRatio is the number of retries that each request earns.
 	defaultRatio = 0.2
-	// defaultBurst is the most retries in store.
+	// defaultBurst is the maximum number of saved retries.
 	defaultBurst = 100
 )
 
-// NewBudget returns a full budget with the default figures.
+// NewBudget returns a full budget with the default ratio and burst.
 func NewBudget() *Budget { return NewBudgetOf(defaultRatio, defaultBurst) }
 
-// NewBudgetOf returns a full budget: each request earns ratio of a retry, and
-// at most burst retries are in store.
+// NewBudgetOf returns a full budget: each request earns ratio of a retry, and at most burst
+// retries are saved.
 func NewBudgetOf(ratio, burst float64) *Budget {
 	b := NewEarnedBudget(ratio)
 	b.SetBurst(burst)
@@ -32,16 +32,16 @@
 	return b
 }
 
-// NewEarnedBudget returns a budget with a single retry in store, so that
-// daemons which restart do not bring a burst of retries of their own each time.
+// NewEarnedBudget returns a budget with a single saved retry, so that restarted daemons do
+// not each start with a whole burst of retries. It earns no more until SetBurst is called.
 func NewEarnedBudget(ratio float64) *Budget {
 	b := &Budget{earn: int64(ratio * perRetry)}
 	b.credit.Store(perRetry)
 	return b
 }
 
-// SetBurst changes the most retries in store, as when daemons that share a
-// bound come or go.
+// SetBurst changes the maximum number of saved retries, for instance when the number of
+// daemons that share a limit changes.
 func (b *Budget) SetBurst(burst float64) {
 	most := int64(burst * perRetry)
 	b.mostNow.Store(most)
@@ -50,7 +50,7 @@
 	}
 }
 
-// Earn counts one request.
+// Earn adds the credit of one request.
 func (b *Budget) Earn() {
 	most := b.mostNow.Load()
 	if v := b.credit.Load(); v < most {
@@ -58,7 +58,7 @@
 	}
 }
 
-// Spend takes one retry out, if there is one.
+// Spend takes one retry from the budget and reports whether there was one.
 func (b *Budget) Spend() bool {
 	for {
 		v := b.credit.Load()
--- a/coordination/retry/retry_test.go
+++ b/coordination/retry/retry_test.go
@@ -2,13 +2,13 @@
 
 import "testing"
 
-// A daemon that restarts brings no retries of its own: the bound is shared by
-// all daemons, and a rolling restart must not multiply it.
+// A restarted daemon does not start with a burst of retries: the limit is shared by all
+// daemons, and a rolling restart must not multiply it.
 func TestNewBudgetIsEarned(t *testing.T) {
 	b := NewEarnedBudget(0.25)
 	b.SetBurst(2)
 	if !b.Spend() || b.Spend() {
-		t.Fatal("a new budget holds more or less than one retry")
+		t.Fatal("new budget does not hold exactly one retry")
 	}
 	for range 100 {
 		b.Earn()
@@ -18,7 +18,7 @@
 		spent++
 	}
 	if spent != 2 {
-		t.Fatalf("spent %d retries of a burst of 2", spent)
+		t.Fatalf("spent %d retries with a burst of 2", spent)
 	}
 }
 
--- a/coordination/waiting/margin.go
+++ b/coordination/waiting/margin.go
@@ -5,53 +5,54 @@
 	"time"
 )
 
-// Source says what an estimate of the time to a model rests on.
+// Source is what an estimate of the time until a model is ready is based on.
 type Source int
 
-// The sources of estimates.
+// Sources of estimates.
 const (
-	Loaded      Source = iota // the model is loaded, or its load is in progress
+	Loaded      Source = iota // the model is loaded or being loaded
 	Nearby                    // a copy in an engine's host memory or on its disk
-	WeightStore               // the weight store
-	Unscheduled               // nobody coordinates, or no engine has room
+	WeightStore               // a copy in the weight store
+	Unscheduled               // no load is scheduled: there is no coordinator, or no engine has room
 	sources
 )
 
 const (
-	// served is the share of requests that are to have their model within the
-	// estimate and its margin.
+	// coverage is the share of requests whose model should be ready within the estimate
+	// plus its margin.
 	served = 0.9
-	// marginStep is how far one observation moves a margin: some tens bring it
-	// from where it starts to what a day shows.
+	// marginStep is the size of the steps by which an observation changes a margin. A few
+	// tens of observations bring a margin from its initial value to the one that a day's
+	// requests need.
 	marginStep = 200 * time.Millisecond
-	// marginMost bounds a margin: beyond it, hardly any caller would wait.
+	// maxMargin limits a margin: hardly any caller would wait longer.
 	marginMost = 10 * time.Second
 )
 
-// startMargins are the margins before anything was observed.
+// initialMargins holds the margins before any observation.
 var startMargins = [sources]time.Duration{Loaded: 500 * time.Millisecond, Nearby: 1500 * time.Millisecond, WeightStore: 1200 * time.Millisecond, Unscheduled: 2 * time.Second}
 
-// Margins learn by how much the estimates of the time to a model err. They are
-// safe for concurrent use.
+// Margins learns the error of the estimates of the time until a model is ready, by source.
+// It is safe for concurrent use.
 type Margins struct {
 	mu sync.Mutex
 	of [sources]time.Duration
 }
 
-// NewMargins returns margins that have observed nothing.
+// NewMargins returns the margins before any observation.
 func NewMargins() *Margins { return &Margins{of: startMargins} }
 
-// Of returns what is to be added to an estimate so that 9 in 10 requests have
-// their model by then.
+// Of returns the margin to add to an estimate from s so that the model is ready by then for
+// 9 in 10 requests.
 func (m *Margins) Of(s Source) time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.of[s]
 }
 
-// Observe takes how much later than estimated a model was there: negative when
-// it was earlier. The margin steps up after an estimate that it did not cover
-// and down after the others, so that it settles where 1 in 10 is not covered.
+// Observe records by how much later than estimated a model was ready; late is negative if
+// it was ready earlier. The margin grows after an estimate that it did not cover and
+// shrinks after any other, so that it settles where 1 in 10 estimates is not covered.
 func (m *Margins) Observe(s Source, late time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/coordination/waiting/queue.go
+++ b/coordination/waiting/queue.go
@@ -6,19 +6,20 @@
 	"github.com/doorvalve/doorvalve/protocol"
 )
 
-// QueueInput is what the decision to join a queue hangs on.
+// QueueInput describes a request that may join the queue of an engine.
 type QueueInput struct {
-	StartsIn time.Duration // until a slot is free; zero where one is
+	StartsIn time.Duration // until a slot is free; zero if one is free now
 	Elapsed  time.Duration // since the request arrived
-	TimeLeft time.Duration // until its deadline
-	Target   time.Duration // its latency objective
+	TimeLeft time.Duration // until the request's deadline
+	Target   time.Duration // latency objective of the request
 }
 
-// Join decides whether a request joins the queue of an engine that is full. More requests
-// than the engines can take make a queue that grows until its callers leave: then each of
-// them is late, and no more are served than with a queue in which they are in time. So one
-// that would be late is refused at once, with the time at which those ahead of it have
-// begun: it has not run, and by then others may hold its model as well.
+// Join decides whether a request joins the queue of a full engine. If more requests arrive
+// than the engines can process, a queue grows until its callers leave. All requests are
+// then late, while no more of them are served than with a queue short enough for them to be
+// in time. A request that would be late is therefore refused immediately, and told to retry
+// when the requests ahead of it have started. It has not run yet, and more engines may hold
+// its model by then.
 func Join(in QueueInput) Decision {
 	if in.StartsIn <= 0 || in.Elapsed+in.StartsIn+firstEvent <= in.Target {
 		return Decision{Wait: true}
--- a/coordination/waiting/queue_test.go
+++ b/coordination/waiting/queue_test.go
@@ -16,18 +16,18 @@
 		comeBackWithin time.Duration
 	}{
 		{"a slot is free", 0, 0, true, 0},
-		{"a slot is free, late already", 0, time.Second, true, 0},
-		{"a queue in which it is in time", 150 * ms, 0, true, 0},
-		{"a queue in which it is late", 151 * ms, 0, false, 151 * ms},
-		{"its time was spent before", 100 * ms, 60 * ms, false, 100 * ms},
-		{"a queue of minutes", time.Minute, 0, false, 4 * time.Second},
+		{"a slot is free, request already late", 0, time.Second, true, 0},
+		{"short queue, request in time", 150 * ms, 0, true, 0},
+		{"longer queue, request late", 151 * ms, 0, false, 151 * ms},
+		{"short queue, but time already spent", 100 * ms, 60 * ms, false, 100 * ms},
+		{"queue of a minute, retry delay limited by the time left", time.Minute, 0, false, 4 * time.Second},
 	} {
 		d := Join(QueueInput{StartsIn: c.starts, Elapsed: c.past, TimeLeft: 12 * time.Second, Target: 400 * ms})
 		if d.Wait != c.join {
-			t.Errorf("%s: joins %v", c.what, d.Wait)
+			t.Errorf("%s: Wait = %v", c.what, d.Wait)
 		}
 		if !d.Wait && (d.RetryAfter < protocol.MinRetryAfter || d.RetryAfter > c.comeBackWithin) {
-			t.Errorf("%s: come back in %v, want at most %v", c.what, d.RetryAfter, c.comeBackWithin)
+			t.Errorf("%s: RetryAfter = %v, want at most %v", c.what, d.RetryAfter, c.comeBackWithin)
 		}
 	}
 }
--- a/coordination/waiting/waiting.go
+++ b/coordination/waiting/waiting.go
@@ -1,5 +1,5 @@
-// Package waiting decides whether a request waits for its model, or is refused
-// at once with the time to come back.
+// Package waiting decides whether a request waits for its model or is refused immediately
+// with a retry delay.
 package waiting
 
 import (
@@ -8,47 +8,48 @@
 	"github.com/doorvalve/doorvalve/protocol"
 )
 
-// Input is what the decision hangs on.
+// Input describes a request whose model is not ready.
 type Input struct {
 	ReadyIn  time.Duration // until an endpoint can start the request
-	Margin   time.Duration // by which ReadyIn may err
-	Elapsed  time.Duration // since the request arrived, or its caller got the last event
-	TimeLeft time.Duration // until its deadline
-	Target   time.Duration // its latency objective
-	MaxWait  time.Duration // until its caller leaves, from the same moment as Elapsed
-	// Begun says that an endpoint has worked on the request, so that it cannot
-	// be refused any more: ended now, it has failed.
+	Margin   time.Duration // possible error of ReadyIn
+	Elapsed  time.Duration // since the request arrived, or since its caller received the last event
+	TimeLeft time.Duration // until the request's deadline
+	Target   time.Duration // latency objective of the request
+	MaxWait  time.Duration // how long the caller waits before it gives up, counted like Elapsed
+	// Started reports that an endpoint has worked on the request. It can no longer be
+	// refused: if it ends now, it has failed.
 	Started bool
-	// Again says that it has waited before, in vain: then it waits only while it can be within
-	// its objective.
+	// WaitedBefore reports that the request has already waited for a model that did not
+	// become ready in time. It then waits again only if it can meet its objective.
 	WaitedBefore bool
 }
 
-// Decision is what becomes of the request.
+// Decision is the outcome for a request.
 type Decision struct {
 	Wait bool
-	// RetryAfter is when to come back, for a refusal.
+	// RetryAfter is the delay after which a refused request should be retried.
 	RetryAfter time.Duration
 }
 
 const (
-	// firstEvent is the time that an endpoint takes to the first event, with
-	// room to spare: a long prompt and a full batch.
+	// firstEventTime is the time that an endpoint takes until the first event, with room
+	// for a long prompt and a full batch.
 	firstEvent = 250 * time.Millisecond
-	// honouredPart is the part of the time left up to which callers keep to a
-	// Retry-After.
+	// retryDivisor determines the longest retry delay that callers respect: the time left
+	// divided by it.
 	honouredPart = 3
-	// returnMargin is added to the time to come back, so that the model is
-	// there when the caller is.
+	// returnMargin is added to the retry delay, so that the model is ready when the caller
+	// retries.
 	returnMargin = 200 * time.Millisecond
 )
 
-// Decide is pure. A request waits if it is likely to be served: within its
-// objective, or with the estimate's margin before its caller leaves. One that an
-// endpoint has begun goes on while there is a chance. All others are refused at
-// once with the time at which the model will be there: worth counts from the
-// caller's first try, so that a refusal gains nothing where waiting succeeds, and
-// waiting in vain costs the caller more the longer it lasts.
+// Decide decides whether a request waits; it has no side effects. A request waits if it is
+// likely to be served: within its objective, or, including the margin of the estimate,
+// before its caller gives up. A request that an endpoint has started continues as long as
+// it can still be served. All others are refused immediately, with a retry delay after
+// which the model will be ready. The value of a request counts from the caller's first
+// attempt, so a refusal gains nothing if waiting would succeed, and a wait that fails costs
+// the caller more the longer it lasts.
 func Decide(in Input) Decision {
 	need := in.ReadyIn + firstEvent
 	if in.Started {
@@ -61,5 +62,5 @@
 	return Decision{RetryAfter: max(protocol.MinRetryAfter, back)}
 }
 
-// lasts reports whether the caller is still there after a time.
+// lasts reports whether the caller still waits and the deadline has not passed after t.
 func (in Input) lasts(t time.Duration) bool { return t < in.TimeLeft && in.Elapsed+t < in.MaxWait }
--- a/coordination/waiting/waiting_test.go
+++ b/coordination/waiting/waiting_test.go
@@ -19,18 +19,18 @@
 		after  time.Duration // bounds of RetryAfter
 		before time.Duration
 	}{
-		{"a load from disk is waited for", func(in *Input) { in.ReadyIn = 800 * ms }, true, 0, 0},
-		{"what meets its objective waits without the margin", func(in *Input) { in.ReadyIn, in.Margin = 2*time.Second, 9*time.Second }, true, 0, 0},
-		{"a load that ends within the caller's patience is waited for", func(in *Input) { in.ReadyIn = 6 * time.Second }, true, 0, 0},
-		{"a load that may end after it is not", func(in *Input) { in.ReadyIn, in.Margin = 6*time.Second, 4*time.Second }, false, 6 * time.Second, 7 * time.Second},
-		{"a load past the patience is not", func(in *Input) { in.ReadyIn = 12 * time.Second }, false, 8 * time.Second, 9 * time.Second},
-		{"what has waited is given up when it will not be served", func(in *Input) { in.ReadyIn, in.Elapsed = 6*time.Second, 4*time.Second }, false, 6 * time.Second, 7 * time.Second},
-		{"who has waited long waits on for what is near", func(in *Input) { in.ReadyIn, in.Elapsed = 1*time.Second, 7*time.Second }, true, 0, 0},
-		{"what has begun waits without the margin", func(in *Input) { in.ReadyIn, in.Margin, in.Started = 6*time.Second, 9*time.Second, true }, true, 0, 0},
-		{"what has begun does not wait past its caller", func(in *Input) { in.ReadyIn, in.Elapsed, in.Started = 6*time.Second, 4*time.Second, true }, false, 0, time.Second},
-		{"what has waited in vain waits again within its objective", func(in *Input) { in.ReadyIn, in.WaitedBefore = 2*time.Second, true }, true, 0, 0},
-		{"what has waited in vain does not wait beyond it", func(in *Input) { in.ReadyIn, in.WaitedBefore = 3*time.Second, true }, false, 3 * time.Second, 4 * time.Second},
-		{"nothing is waited for past the deadline", func(in *Input) { in.ReadyIn, in.TimeLeft = 6*time.Second, 3*time.Second }, false, 100 * ms, time.Second},
+		{"waits for a load from disk", func(in *Input) { in.ReadyIn = 800 * ms }, true, 0, 0},
+		{"waits within its objective, without the margin", func(in *Input) { in.ReadyIn, in.Margin = 2*time.Second, 9*time.Second }, true, 0, 0},
+		{"waits for a load that ends before the wait limit", func(in *Input) { in.ReadyIn = 6 * time.Second }, true, 0, 0},
+		{"does not wait for a load that may end after the wait limit", func(in *Input) { in.ReadyIn, in.Margin = 6*time.Second, 4*time.Second }, false, 6 * time.Second, 7 * time.Second},
+		{"does not wait for a load that ends after the wait limit", func(in *Input) { in.ReadyIn = 12 * time.Second }, false, 8 * time.Second, 9 * time.Second},
+		{"does not wait on when the wait limit comes before the load ends", func(in *Input) { in.ReadyIn, in.Elapsed = 6*time.Second, 4*time.Second }, false, 6 * time.Second, 7 * time.Second},
+		{"waits on after a long wait for a load that ends soon", func(in *Input) { in.ReadyIn, in.Elapsed = 1*time.Second, 7*time.Second }, true, 0, 0},
+		{"started request waits without the margin", func(in *Input) { in.ReadyIn, in.Margin, in.Started = 6*time.Second, 9*time.Second, true }, true, 0, 0},
+		{"started request does not wait beyond the wait limit", func(in *Input) { in.ReadyIn, in.Elapsed, in.Started = 6*time.Second, 4*time.Second, true }, false, 0, time.Second},
+		{"waits again within its objective", func(in *Input) { in.ReadyIn, in.WaitedBefore = 2*time.Second, true }, true, 0, 0},
+		{"does not wait again beyond its objective", func(in *Input) { in.ReadyIn, in.WaitedBefore = 3*time.Second, true }, false, 3 * time.Second, 4 * time.Second},
+		{"does not wait beyond the deadline", func(in *Input) { in.ReadyIn, in.TimeLeft = 6*time.Second, 3*time.Second }, false, 100 * ms, time.Second},
 	}
 	for _, c := range cases {
 		in := patient
@@ -42,42 +42,42 @@
 	}
 }
 
-// A refusal comes with a time to come back, and never asks a caller to come
-// back later than it would keep to. Nobody waits past the end of its time.
+// A refusal has a retry delay, which is never longer than callers respect. No request waits
+// beyond its deadline or its caller's wait limit.
 func TestRefusalNamesATime(t *testing.T) {
 	for ready := time.Duration(0); ready < 30*time.Second; ready += 170 * ms {
 		for left := 50 * ms; left < 25*time.Second; left += 490 * ms {
 			for _, margin := range []time.Duration{0, 3 * time.Second} {
 				d := Decide(Input{ReadyIn: ready, Margin: margin, TimeLeft: left, Target: 400 * ms, MaxWait: 2400 * ms})
 				if !d.Wait && (d.RetryAfter < protocol.MinRetryAfter || d.RetryAfter > max(protocol.MinRetryAfter, left/honouredPart)) {
-					t.Fatalf("ready in %v, %v left: %+v", ready, left, d)
+					t.Fatalf("model ready in %v, %v left: %+v, want a retry delay that callers respect", ready, left, d)
 				}
 				if d.Wait && (ready > left || ready > 2400*ms) {
-					t.Fatalf("waits for a model in %v with %v left", ready, left)
+					t.Fatalf("waits for a model ready in %v with %v left", ready, left)
 				}
 			}
 		}
 	}
 }
 
-// Whether a request waits changes once with the time to its model: no part of
-// the objective or of the time left is a window of its own.
+// Whether a request waits depends on a single bound of the time until its model is ready:
+// with a later model, it never waits again after a refusal for an earlier one.
 func TestOneBoundOnly(t *testing.T) {
 	for elapsed := time.Duration(0); elapsed < 8*time.Second; elapsed += 130 * ms {
 		waited := true
 		for ready := time.Duration(0); ready < 12*time.Second; ready += 50 * ms {
 			d := Decide(Input{ReadyIn: ready, Margin: 700 * ms, Elapsed: elapsed, TimeLeft: 13*time.Second - elapsed, Target: 2 * time.Second, MaxWait: 8 * time.Second})
 			if d.Wait && !waited {
-				t.Fatalf("after %v a model in %v is waited for, one that comes sooner is not", elapsed, ready)
+				t.Fatalf("after %v, waits for a model ready in %v but not for an earlier one", elapsed, ready)
 			}
 			waited = d.Wait
 		}
 	}
 }
 
-// Load: engines swap models at their limit, as in a burst on rare models, and
-// estimates are short by up to 3 s. The margin settles where 9 in 10 requests
-// have their model by then.
+// Load: engines swap models at their limit, as in a burst of requests for rare models, and
+// estimates are short by up to 3 s. The margin settles where the model is ready in time for
+// 9 in 10 requests.
 func TestMarginCoversNineInTen(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 2))
 	m := NewMargins()
@@ -93,10 +93,10 @@
 		m.Observe(Nearby, late)
 	}
 	if part := float64(covered) / float64(n); part < 0.87 || part > 0.93 {
-		t.Fatalf("%.3f are covered", part)
+		t.Fatalf("%.3f of the requests are covered, want 0.87 to 0.93", part)
 	}
 	if m.Of(WeightStore) != startMargins[WeightStore] {
-		t.Fatal("estimates of one kind changed the margin of another")
+		t.Fatal("observations of one source changed the margin of another")
 	}
 }
 
