--- a/coordination/keepalive/keepalive.go
+++ b/coordination/keepalive/keepalive.go
@@ -34,14 +34,14 @@
 
 // unit holds the learned statistics of one unit.
 type unit struct {
-	last time.Time
-	gaps [gapBuckets]float64 // decayed counts
+	lastArrival time.Time
+	gaps        [gapBuckets]float64 // decayed counts
 	// dayPart is the learned probability of an arrival in each part of the day.
-	dayPart [dayParts]float64
-	seen    [dayParts]int64 // day on which the part was last updated
-	cost    placement.Cost
-	burst   float64 // mean number of requests that would wait for one load
-	inBurst int     // requests since the last gap that was longer than a load
+	dayPart   [dayParts]float64
+	updatedOn [dayParts]int64 // day on which the part was last updated
+	cost      placement.Cost
+	burst     float64 // mean number of requests that would wait for one load
+	inBurst   int     // requests since the last gap that was longer than a load
 }
 
 // Policy learns the arrivals of units and decides how long their replicas stay loaded. It
@@ -70,16 +70,16 @@
 		p.start = now
 	}
 	u := p.unit(name)
-	if gap := now.Sub(u.last); u.last.IsZero() || gap > max(u.cost.Load, burstGap) {
+	if gap := now.Sub(u.lastArrival); u.lastArrival.IsZero() || gap > max(u.cost.Load, burstGap) {
 		u.endBurst(gap)
 	}
 	u.inBurst += n
-	u.last = now
+	u.lastArrival = now
 	part, day := partOf(now)
-	if u.seen[part] != day {
+	if u.updatedOn[part] != day {
 		u.decayDays(part, day)
 		u.dayPart[part] += dayRate * (1 - u.dayPart[part])
-		u.seen[part] = day
+		u.updatedOn[part] = day
 	}
 }
 
@@ -87,7 +87,7 @@
 // before it. Gaps inside a burst are not recorded, since no policy would unload the unit in
 // them.
 func (u *unit) endBurst(gap time.Duration) {
-	if u.last.IsZero() {
+	if u.lastArrival.IsZero() {
 		return
 	}
 	for i := range u.gaps {
@@ -103,10 +103,10 @@
 
 // decayDays reduces the probability of a part of the day for each day without an arrival.
 func (u *unit) decayDays(part int, day int64) {
-	if u.seen[part] == 0 {
+	if u.updatedOn[part] == 0 {
 		return
 	}
-	missed := min(day-u.seen[part]-1, 30)
+	missed := min(day-u.updatedOn[part]-1, 30)
 	u.dayPart[part] *= math.Pow(1-dayRate, float64(max(missed, 0)))
 }
 
@@ -134,7 +134,7 @@
 		if i == 0 {
 			keep = 0
 		}
-		if cost := p.expected(u, keep); cost < bestCost {
+		if cost := p.expectedCost(u, keep); cost < bestCost {
 			best, bestCost = keep, cost
 		}
 	}
@@ -143,7 +143,7 @@
 
 // expectedCost returns the expected cost of one gap if the replica stays loaded for keep.
 // The prior spreads one observation evenly over the buckets.
-func (p *Policy) expected(u *unit, keep time.Duration) float64 {
+func (p *Policy) expectedCost(u *unit, keep time.Duration) float64 {
 	idle, cold := p.opt.IdleWeight*u.cost.Share, p.coldCost(u)
 	total, cost := 0.0, 0.0
 	for i, n := range u.gaps {
@@ -176,10 +176,10 @@
 		lead := time.Duration(prewarmAhead * float64(u.cost.Load))
 		part, day := partOf(now.Add(lead))
 		current, _ := partOf(now)
-		if part == current || u.seen[part] == 0 || u.seen[part] == day {
+		if part == current || u.updatedOn[part] == 0 || u.updatedOn[part] == day {
 			continue
 		}
-		missed := min(day-u.seen[part]-1, 30)
+		missed := min(day-u.updatedOn[part]-1, 30)
 		probability := u.dayPart[part] * math.Pow(1-dayRate, float64(max(missed, 0)))
 		saved := probability * p.coldCost(u)
 		spent := p.opt.IdleWeight * u.cost.Share * (lead + partLength/2).Seconds()
--- a/coordination/residency/bench_test.go
+++ b/coordination/residency/bench_test.go
@@ -7,8 +7,8 @@
 )
 
 // bigCluster is a service of the size that users plan for next: 90 engines, 480 models.
-func bigWorld() *world {
-	w := newWorld(480, 90)
+func bigCluster() *simCluster {
+	w := newSimCluster(480, 90)
 	for i := 270; i < 480; i++ {
 		for j := range 3 {
 			w.engines[(i+j*30)%90].onDisk[fmt.Sprintf("m%02d", i)] = true
@@ -18,13 +18,13 @@
 		w.step()
 	}
 	for i := range 40 {
-		w.p.ReceiveDemand(w.now, fmt.Sprint("d", i), Demand{Active: map[string]int{fmt.Sprintf("m%02d", i): 3}, Running: map[Place]int{{life(fmt.Sprintf("e%d", i/3)), fmt.Sprintf("m%02d", i)}: 3}})
+		w.p.ReceiveDemand(w.now, fmt.Sprint("d", i), Demand{Active: map[string]int{fmt.Sprintf("m%02d", i): 3}, Running: map[Place]int{{incarnation(fmt.Sprintf("e%d", i/3)), fmt.Sprintf("m%02d", i)}: 3}})
 	}
 	return w
 }
 
 func BenchmarkReady(b *testing.B) {
-	w := bigWorld()
+	w := bigCluster()
 	for i := 300; i < 330; i++ {
 		w.p.Want(w.now, Want{Model: fmt.Sprintf("m%02d", i)})
 	}
@@ -37,7 +37,7 @@
 }
 
 func BenchmarkWant(b *testing.B) {
-	w := bigWorld()
+	w := bigCluster()
 	b.ReportAllocs()
 	i := 0
 	for b.Loop() {
@@ -47,7 +47,7 @@
 }
 
 func BenchmarkStepAtRest(b *testing.B) {
-	w := bigWorld()
+	w := bigCluster()
 	b.ReportAllocs()
 	for b.Loop() {
 		w.now = w.now.Add(25 * time.Millisecond)
@@ -59,12 +59,12 @@
 // The cost of a schedule grew with the product of wanted models, engines and daemons
 // before.
 func TestScheduleStaysCheap(t *testing.T) {
-	w := bigWorld()
+	w := bigCluster()
 	for i := 300; i < 330; i++ {
 		w.p.Want(w.now, Want{Model: fmt.Sprintf("m%02d", i)})
 	}
-	const most = 800 // a few for each engine and each wanted model
-	if n := testing.AllocsPerRun(5, func() { w.p.schedule(w.p.newDraft(w.now)) }); n > most {
+	const maxAllocs = 800 // a few for each engine and each wanted model
+	if n := testing.AllocsPerRun(5, func() { w.p.schedule(w.p.newDraft(w.now)) }); n > maxAllocs {
 		t.Fatalf("%v allocations for one schedule", n)
 	}
 }
--- a/coordination/residency/tell_test.go
+++ b/coordination/residency/demandtimer_test.go
@@ -8,11 +8,11 @@
 
 // A daemon reports within minDemandDelay that a model can be replaced, while such reports
 // are few, and all daemons together send no more of them than a coordinator should receive.
-func TestPaceOfWordsOnDemand(t *testing.T) {
+func TestDemandTimer(t *testing.T) {
 	for _, c := range []struct {
-		daemons                   int
-		sinceTold                 time.Duration
-		turned, freed, wantWithin time.Duration // after now; negative: did not happen
+		daemons                    int
+		sinceSent                  time.Duration
+		changed, freed, wantWithin time.Duration // after now; negative: did not happen
 	}{
 		{6, time.Second, -1, -1, 400 * time.Millisecond},
 		{6, time.Second, 0, -1, 40 * time.Millisecond},
@@ -24,11 +24,11 @@
 	} {
 		var p DemandTimer
 		p.ObserveSent(start, c.daemons)
-		now := start.Add(c.sinceTold)
+		now := start.Add(c.sinceSent)
 		if c.wantWithin == 400*time.Millisecond {
 			now = start
 		}
-		if c.turned >= 0 {
+		if c.changed >= 0 {
 			p.ObserveChange(now, c.daemons)
 		}
 		if c.freed >= 0 {
@@ -39,16 +39,16 @@
 		}
 	}
 	var p DemandTimer
-	told := 0
+	sent := 0
 	for now := start; now.Before(start.Add(10 * time.Second)); now = now.Add(5 * time.Millisecond) {
 		p.ObserveFreed(now, 195)
 		if !now.Before(p.Due()) {
-			told++
+			sent++
 			p.ObserveSent(now, 195)
 		}
 	}
-	if most := 10 * freedMost / 195; told > most+1 {
-		t.Errorf("one of 195 daemons sent %d reports in 10 s, want at most %d", told, most)
+	if maxSent := 10 * maxFreedRate / 195; sent > maxSent+1 {
+		t.Errorf("one of 195 daemons sent %d reports in 10 s, want at most %d", sent, maxSent)
 	}
 }
 
@@ -58,7 +58,7 @@
 // report, whose interval grows with the number of daemons, the model stood idle for 0.8 s
 // more, a third of the time that its request had run.
 func TestPlaceIsFreeAtOnceAmongManyDaemons(t *testing.T) {
-	w := newWorld(4, 1)
+	w := newSimCluster(4, 1)
 	w.engines[0].onDisk["m03"] = true
 	for i := range 195 {
 		w.p.ReceiveDemand(w.now, fmt.Sprint("d", i), Demand{})
@@ -74,7 +74,7 @@
 		}
 		d = Demand{Active: map[string]int{}, Running: map[Place]int{}}
 		for _, m := range []string{"m00", "m01", "m02"} {
-			d.Active[m], d.Running[Place{life("e0"), m}] = 1, 1
+			d.Active[m], d.Running[Place{incarnation("e0"), m}] = 1, 1
 		}
 		w.p.ReceiveDemand(w.now, "d0", d)
 		w.run(DemandDelay(195) - 50*time.Millisecond)
--- a/coordination/residency/draft.go
+++ b/coordination/residency/draft.go
@@ -9,29 +9,29 @@
 // draft is the state that one planning step derives from the planner once and updates as it
 // decides.
 type draft struct {
-	now      time.Time
-	active   map[string]int // running and waiting requests, by model
-	running  map[Place]int
-	replicas map[string]int       // of each model, without those being unloaded
-	ready    map[string]readiness // loaded models
-	pressed  map[string]int       // replicas needed because of slow answers, by model
-	runTime  time.Duration        // mean duration of a request
+	now              time.Time
+	active           map[string]int // running and waiting requests, by model
+	running          map[Place]int
+	replicas         map[string]int       // of each model, without those being unloaded
+	ready            map[string]readiness // loaded models
+	pressureReplicas map[string]int       // replicas needed because of slow answers, by model
+	runTime          time.Duration        // mean duration of a request
 	// perReplica is the number of running requests that one replica should serve.
-	perReplica float64
-	engines    map[*worker]*engineDraft
-	store      []time.Duration // time until each of the store's concurrent loads ends; zero for unused ones
+	perReplica  float64
+	engines     map[*engineState]*engineDraft
+	storeFreeIn []time.Duration // time until each of the store's concurrent loads ends; zero for unused ones
 	// storeLoads is the number of loads from the store in progress.
 	storeLoads int
 }
 
 // engineDraft is the part of a draft that concerns one engine.
 type engineDraft struct {
-	freeIn   time.Duration // time until its scheduled work is done
-	reserved float64       // memory of scheduled loads, in MB
-	memory   float64       // occupied by its models and adapters, in MB
-	inUse    int           // models with running or waiting requests
-	victims  []victim
-	derived  bool // victims has been computed
+	freeIn       time.Duration // time until its scheduled work is done
+	reserved     float64       // memory of scheduled loads, in MB
+	memory       float64       // occupied by its models and adapters, in MB
+	inUse        int           // models with running or waiting requests
+	victims      []victim
+	victimsKnown bool // victims has been computed
 }
 
 // newDraft returns the draft of a planning step. It reuses the maps of the previous draft,
@@ -42,33 +42,33 @@
 	d.perReplica = p.perReplica()
 	p.sumDemand(d)
 	p.countRunning(d)
-	for _, w := range p.sorted {
-		d.engines[w] = &engineDraft{freeIn: w.freeIn(now), memory: p.memory(w), inUse: d.countInUse(w)}
-		if w.order != nil && w.order.loadsFromStore() {
-			d.store = append(d.store, w.freeIn(now))
+	for _, e := range p.sorted {
+		d.engines[e] = &engineDraft{freeIn: e.freeIn(now), memory: p.memory(e), inUse: d.countInUse(e)}
+		if e.order != nil && e.order.loadsFromStore() {
+			d.storeFreeIn = append(d.storeFreeIn, e.freeIn(now))
 			d.storeLoads++
 		}
-		p.countReplicas(d, w)
+		p.countReplicas(d, e)
 	}
-	d.pressed = p.pressedReplicas(d)
+	d.pressureReplicas = p.replicasForPressure(d)
 	d.runTime = p.meanRunTime(d)
-	for len(d.store) < p.places.Estimate {
-		d.store = append(d.store, 0)
+	for len(d.storeFreeIn) < p.store.Estimate {
+		d.storeFreeIn = append(d.storeFreeIn, 0)
 	}
-	slices.Sort(d.store)
+	slices.Sort(d.storeFreeIn)
 	return d
 }
 
 func (d *draft) reset(now time.Time) {
 	if d.engines == nil {
-		*d = draft{active: map[string]int{}, running: map[Place]int{}, replicas: map[string]int{}, ready: map[string]readiness{}, engines: map[*worker]*engineDraft{}}
+		*d = draft{active: map[string]int{}, running: map[Place]int{}, replicas: map[string]int{}, ready: map[string]readiness{}, engines: map[*engineState]*engineDraft{}}
 	}
 	clear(d.active)
 	clear(d.running)
 	clear(d.replicas)
 	clear(d.ready)
 	clear(d.engines)
-	d.now, d.store, d.storeLoads = now, d.store[:0], 0
+	d.now, d.storeFreeIn, d.storeLoads = now, d.storeFreeIn[:0], 0
 }
 
 // perReplica returns the number of running requests that one replica should serve.
@@ -76,20 +76,20 @@
 
 // needed returns the number of replicas that the requests of a model need.
 func (d *draft) needed(model string) int {
-	return max(needed(d.active[model], d.perReplica), d.pressed[model])
+	return max(needed(d.active[model], d.perReplica), d.pressureReplicas[model])
 }
 
 // sumDemand adds up the valid demand reports of all daemons and drops expired ones.
 func (p *Planner) sumDemand(d *draft) {
-	for daemon, said := range p.demands {
-		if d.now.Sub(said.at) > demandLife {
+	for daemon, report := range p.demands {
+		if d.now.Sub(report.at) > demandTTL {
 			delete(p.demands, daemon)
 			continue
 		}
-		for model, n := range said.Active {
+		for model, n := range report.Active {
 			d.active[model] += n
 		}
-		for place, n := range said.Running {
+		for place, n := range report.Running {
 			d.running[place] += n
 		}
 	}
@@ -98,24 +98,24 @@
 // countRunning counts the running requests of each engine; requests for an adapter count
 // for its model.
 func (p *Planner) countRunning(d *draft) {
-	for _, w := range p.sorted {
-		w.running = 0
+	for _, e := range p.sorted {
+		e.running = 0
 	}
-	p.countRunningOf(d.running, 1)
+	p.addRunning(d.running, 1)
 }
 
 // countReplicas counts the models of an engine, including those that are being loaded.
-func (p *Planner) countReplicas(d *draft, w *worker) {
-	if !w.usable() || w.isFull(d.now) {
+func (p *Planner) countReplicas(d *draft, e *engineState) {
+	if !e.usable() || e.isFull(d.now) {
 		return
 	}
-	for model, r := range w.models {
-		if o := w.order; o == nil || !o.order.Unload || o.order.Adapter != "" || o.order.Model != model {
+	for model, r := range e.models {
+		if o := e.order; o == nil || !o.order.Unload || o.order.Adapter != "" || o.order.Model != model {
 			d.replicas[model]++
 		}
 		if !r.readyAt.After(d.now) {
-			known := d.ready[model]
-			d.ready[model] = readiness{known.replicas + 1, maxTime(known.since, r.readyAt)}
+			counted := d.ready[model]
+			d.ready[model] = readiness{counted.replicas + 1, maxTime(counted.since, r.readyAt)}
 		}
 	}
 }
@@ -127,9 +127,9 @@
 	since    time.Time
 }
 
-func (d *draft) countInUse(w *worker) int {
+func (d *draft) countInUse(e *engineState) int {
 	n := 0
-	for name := range w.models {
+	for name := range e.models {
 		if d.active[name] > 0 {
 			n++
 		}
@@ -140,9 +140,9 @@
 const (
 	// defaultRunTime is the assumed duration of a request while nothing is known;
 	// minRunTime and maxRunTime limit the estimate from a few requests.
-	runTimeUnknown = time.Second
-	leastRunTime   = 200 * time.Millisecond
-	mostRunTime    = 6 * time.Second
+	defaultRunTime = time.Second
+	minRunTime     = 200 * time.Millisecond
+	maxRunTime     = 6 * time.Second
 )
 
 // meanRunTime returns the mean duration of a request by Little's law: the number of running
@@ -158,16 +158,16 @@
 		rate += s.rate()
 	}
 	if rate < 1 {
-		return runTimeUnknown
+		return defaultRunTime
 	}
-	return min(mostRunTime, max(leastRunTime, time.Duration(float64(running)/rate*float64(time.Second))))
+	return min(maxRunTime, max(minRunTime, time.Duration(float64(running)/rate*float64(time.Second))))
 }
 
 // idleAfterRun is how long after the last report of a running request a model counts as
 // idle. Until then, a daemon whose request was just served there may send another one
 // without a Want call.
-const endedAfter = tellLeast + idleMargin
+const idleAfterRun = minDemandDelay + idleMargin
 
 // idleAfterAnswer returns how long after an answer directed a request to a model the model
 // counts as idle, unless daemons report running requests.
-func (p *Planner) idleAfter() time.Duration { return DemandDelay(len(p.demands)) + idleMargin }
+func (p *Planner) idleAfterAnswer() time.Duration { return DemandDelay(len(p.demands)) + idleMargin }
--- a/coordination/residency/engine_test.go
+++ b/coordination/residency/engine_test.go
@@ -30,7 +30,7 @@
 	runsUntil func(model string) time.Time
 	// coming holds the adapters that are being loaded, and leaving those that requests
 	// still use after their unload, with the time at which the load or unload is complete.
-	coming, leaving map[AdapterRef]time.Time
+	loading, unloading map[AdapterRef]time.Time
 	// adapterTime is the load time of an adapter.
 	adapterTime time.Duration
 	// overloaded is set when the engine received an order beyond its memory or adapter
@@ -41,10 +41,10 @@
 
 // initialBorn is the start time of engines that have not been restarted; it lies far in the
 // past.
-var firstBorn = start.Add(-time.Hour).UnixMilli()
+var initialBorn = start.Add(-time.Hour).UnixMilli()
 
 // incarnation returns an incarnation of an engine whose start time is unknown.
-func life(id string) fleet.Incarnation { return fleet.Incarnation{ID: id} }
+func incarnation(id string) fleet.Incarnation { return fleet.Incarnation{ID: id} }
 
 type simState struct {
 	at     time.Time
@@ -52,7 +52,7 @@
 }
 
 func newSimEngine(conf *routing.Engine, id string, models ...string) *simEngine {
-	e := &simEngine{conf: conf, models: map[string][]string{}, coming: map[AdapterRef]time.Time{}, leaving: map[AdapterRef]time.Time{}, onDisk: map[string]bool{}, endpoint: &fleet.Endpoint{ID: id, StartUnixMs: firstBorn, Service: "s", Address: id, Version: storeversion.Version{Revision: 1}}}
+	e := &simEngine{conf: conf, models: map[string][]string{}, loading: map[AdapterRef]time.Time{}, unloading: map[AdapterRef]time.Time{}, onDisk: map[string]bool{}, endpoint: &fleet.Endpoint{ID: id, StartUnixMs: initialBorn, Service: "s", Address: id, Version: storeversion.Version{Revision: 1}}}
 	for _, m := range models {
 		e.models[m] = nil
 		e.onDisk[m] = true
@@ -71,7 +71,7 @@
 
 func (e *simEngine) loaded() []fleet.LoadedModel {
 	var list []fleet.LoadedModel
-	for _, m := range keysOf(e.models) {
+	for _, m := range sortedKeys(e.models) {
 		list = append(list, fleet.LoadedModel{Model: m, Adapters: slices.Clone(e.models[m])})
 	}
 	return list
@@ -103,9 +103,9 @@
 		e.busy, e.fromStore = false, false
 		if e.during.Unload {
 			delete(e.models, e.during.Model)
-			for ref := range e.coming {
+			for ref := range e.loading {
 				if ref.Model == e.during.Model {
-					delete(e.coming, ref)
+					delete(e.loading, ref)
 				}
 			}
 		} else {
@@ -113,26 +113,26 @@
 			e.onDisk[e.during.Model] = true
 		}
 	}
-	for ref, at := range e.coming {
+	for ref, at := range e.loading {
 		if !now.Before(at) {
-			delete(e.coming, ref)
+			delete(e.loading, ref)
 			if _, ok := e.models[ref.Model]; ok {
 				e.models[ref.Model] = append(e.models[ref.Model], ref.Adapter)
 			}
 		}
 	}
-	for ref, at := range e.leaving {
+	for ref, at := range e.unloading {
 		if !now.Before(at) {
-			delete(e.leaving, ref)
+			delete(e.unloading, ref)
 			e.models[ref.Model] = slices.DeleteFunc(e.models[ref.Model], func(a string) bool { return a == ref.Adapter })
 		}
 	}
-	var coming []AdapterRef
-	for ref := range e.coming {
-		coming = append(coming, ref)
+	var loading []AdapterRef
+	for ref := range e.loading {
+		loading = append(loading, ref)
 	}
 	e.history = append(e.history, simState{now, Report{
-		LoadingAdapters: coming,
+		LoadingAdapters: loading,
 		Endpoint:        e.endpoint.Incarnation(), Sequence: e.sequence, Busy: e.busy, Models: e.loaded(), OnDisk: keys(e.onDisk),
 	}})
 }
@@ -172,12 +172,12 @@
 	if e.memory()+e.conf.Models[o.Model].SizeMB > e.conf.MemoryMB {
 		e.overloaded = true
 	}
-	took := e.conf.Models[o.Model].LoadFromStore
+	duration := e.conf.Models[o.Model].LoadFromStore
 	e.fromStore = !e.onDisk[o.Model]
 	if e.onDisk[o.Model] {
-		took = e.conf.Models[o.Model].LoadFromDisk
+		duration = e.conf.Models[o.Model].LoadFromDisk
 	}
-	e.doneAt = now.Add(took)
+	e.doneAt = now.Add(duration)
 	return Accepted
 }
 
@@ -186,22 +186,22 @@
 		return Refused
 	}
 	ref := AdapterRef{o.Model, o.Adapter}
-	has := slices.Contains(e.models[o.Model], o.Adapter) || !e.coming[ref].IsZero()
+	has := slices.Contains(e.models[o.Model], o.Adapter) || !e.loading[ref].IsZero()
 	if o.Unload != has {
 		return AlreadyDone
 	}
 	e.sequence++
 	if o.Unload && now.Before(e.runsEnd) {
-		e.leaving[ref] = e.runsEnd
+		e.unloading[ref] = e.runsEnd
 		return Accepted
 	}
 	if o.Unload {
-		delete(e.coming, ref)
+		delete(e.loading, ref)
 		e.models[o.Model] = slices.DeleteFunc(e.models[o.Model], func(a string) bool { return a == o.Adapter })
 		return AlreadyDone
 	}
-	e.coming[ref] = now.Add(e.adapterTime)
-	total := len(e.coming)
+	e.loading[ref] = now.Add(e.adapterTime)
+	total := len(e.loading)
 	for _, adapters := range e.models {
 		total += len(adapters)
 	}
@@ -211,9 +211,9 @@
 	return Accepted
 }
 
-func keys(m map[string]bool) []string { return keysOf(m) }
+func keys(m map[string]bool) []string { return sortedKeys(m) }
 
-func keysOf[V any](m map[string]V) []string {
+func sortedKeys[V any](m map[string]V) []string {
 	list := make([]string, 0, len(m))
 	for k := range m {
 		list = append(list, k)
--- a/coordination/residency/lives.go
+++ b/coordination/residency/incarnations.go
@@ -19,10 +19,10 @@
 
 // unplannedMemory returns the memory, in MB, that the effect of an order to an earlier
 // incarnation would need in addition to everything planned for this one.
-func (w *worker) unplanned(l lateOrder, engine *routing.Engine) float64 {
+func (e *engineState) unplannedMemory(l lateOrder, engine *routing.Engine) float64 {
 	m := engine.Models[l.order.Model]
 	switch {
-	case l.order.Unload, l.order.Endpoint.Matches(w.life):
+	case l.order.Unload, l.order.Endpoint.Matches(e.incarnation):
 		return 0
 	case l.order.Adapter != "":
 		return m.AdapterMB
@@ -32,25 +32,25 @@
 
 // recordLate processes the outcome of an order: an unanswered one may arrive late, and one
 // that was sent to an earlier incarnation and accepted may have been accepted by this one.
-func (w *worker) noteLate(now time.Time, o Order, outcome Outcome) {
-	w.late = slices.DeleteFunc(w.late, func(l lateOrder) bool { return l.order == o })
-	if outcome == Unanswered || outcome == Accepted && !o.Endpoint.Matches(w.life) {
-		w.mayComeLate(now, o)
+func (e *engineState) recordLate(now time.Time, o Order, outcome Outcome) {
+	e.lateOrders = slices.DeleteFunc(e.lateOrders, func(l lateOrder) bool { return l.order == o })
+	if outcome == Unanswered || outcome == Accepted && !o.Endpoint.Matches(e.incarnation) {
+		e.addLateOrder(now, o)
 	}
 }
 
 // addLateOrder records an order that the engine may still carry out.
-func (w *worker) mayComeLate(now time.Time, o Order) {
-	w.late = append(w.late, lateOrder{o, now.Add(lateOrderLife)})
+func (e *engineState) addLateOrder(now time.Time, o Order) {
+	e.lateOrders = append(e.lateOrders, lateOrder{o, now.Add(lateOrderTTL)})
 }
 
 // pruneLate drops late orders that can have no effect any more: those whose time has
 // passed, and those whose expected count this incarnation has exceeded. An order to this
 // same incarnation is kept until its time has passed, since the next incarnation may reach
 // the expected count.
-func (w *worker) forgetLate(now time.Time) {
-	w.late = slices.DeleteFunc(w.late, func(l lateOrder) bool {
-		counted := w.known && w.sequence > l.order.Expect && !l.order.Endpoint.Matches(w.life)
+func (e *engineState) pruneLate(now time.Time) {
+	e.lateOrders = slices.DeleteFunc(e.lateOrders, func(l lateOrder) bool {
+		counted := e.synced && e.sequence > l.order.Expect && !l.order.Endpoint.Matches(e.incarnation)
 		return counted || !now.Before(l.until)
 	})
 }
@@ -64,59 +64,59 @@
 // than it was ever ordered to load has not restarted, because engines restart empty.
 // Keeping the memory for one model free costs an engine that holds three models a third of
 // its room, so it is done only for engines that may have started recently enough.
-func (p *Planner) mayHaveUnknownLate(now time.Time, w *worker) bool {
-	if p.lease.First || w.life.StartUnixMs == 0 || now.Sub(p.tookOver) >= lateOrderLife || uint64(len(w.models)) > w.sequence {
+func (p *Planner) mayHaveUnknownLate(now time.Time, e *engineState) bool {
+	if p.lease.First || e.incarnation.StartUnixMs == 0 || now.Sub(p.tookOver) >= lateOrderTTL || uint64(len(e.models)) > e.sequence {
 		return false
 	}
-	return now.Sub(time.UnixMilli(w.life.StartUnixMs)) < lateOrderLife+clockSlack
+	return now.Sub(time.UnixMilli(e.incarnation.StartUnixMs)) < lateOrderTTL+clockSlack
 }
 
 // replaceIncarnation replaces an engine's state by that of its next incarnation. Only two
 // things are carried over: the copies on its disk, which its first report confirms, and the
 // orders to the previous incarnation that may still arrive. No order is sent before that
 // report.
-func (p *Planner) reborn(now time.Time, w *worker, life fleet.Incarnation) *worker {
-	next := newWorker(now, life)
-	next.endpoint, next.onDisk = w.endpoint, maps.Clone(w.onDisk)
-	next.late = w.late
-	if o := w.order; o != nil && !o.answered {
-		next.mayComeLate(now, o.order)
+func (p *Planner) replaceIncarnation(now time.Time, e *engineState, incarnation fleet.Incarnation) *engineState {
+	next := newEngineState(now, incarnation)
+	next.endpoint, next.onDisk = e.endpoint, maps.Clone(e.onDisk)
+	next.lateOrders = e.lateOrders
+	if o := e.order; o != nil && !o.accepted {
+		next.addLateOrder(now, o.order)
 	}
-	p.workers[life.ID] = next
-	p.slots = nil
+	p.engines[incarnation.ID] = next
+	p.loads = nil
 	return next
 }
 
 // replaceUnlistedIncarnation does the same before the store lists the new incarnation. The
 // report came from the address in the last entry.
-func (p *Planner) rebornUnlisted(now time.Time, w *worker, life fleet.Incarnation) *worker {
-	next := p.reborn(now, w, life)
-	entry := *w.endpoint
-	entry.StartUnixMs, entry.Models, entry.Leaving, entry.Remaining = life.StartUnixMs, nil, false, 0
+func (p *Planner) replaceUnlistedIncarnation(now time.Time, e *engineState, incarnation fleet.Incarnation) *engineState {
+	next := p.replaceIncarnation(now, e, incarnation)
+	entry := *e.endpoint
+	entry.StartUnixMs, entry.Models, entry.Leaving, entry.Remaining = incarnation.StartUnixMs, nil, false, 0
 	next.endpoint = &entry
-	p.sortWorkers()
+	p.sortEngines()
 	return next
 }
 
 // engineOf returns the engine of an incarnation, or nil if it is unknown or has a different
 // incarnation.
-func (p *Planner) workerOf(life fleet.Incarnation) *worker {
-	if w := p.workers[life.ID]; w != nil && w.life.Matches(life) {
-		return w
+func (p *Planner) engineOf(incarnation fleet.Incarnation) *engineState {
+	if e := p.engines[incarnation.ID]; e != nil && e.incarnation.Matches(incarnation) {
+		return e
 	}
 	return nil
 }
 
 // ofCurrentIncarnations drops requests that run at earlier incarnations of engines, and
 // maps the others to the incarnations that are known here.
-func (p *Planner) ofPresentLives(running map[Place]int) map[Place]int {
+func (p *Planner) ofCurrentIncarnations(running map[Place]int) map[Place]int {
 	out := make(map[Place]int, len(running))
 	for place, n := range running {
-		if w := p.workers[place.Endpoint.ID]; w != nil {
-			if !w.life.Matches(place.Endpoint) {
+		if e := p.engines[place.Endpoint.ID]; e != nil {
+			if !e.incarnation.Matches(place.Endpoint) {
 				continue
 			}
-			place.Endpoint = w.life
+			place.Endpoint = e.incarnation
 		}
 		out[place] += n
 	}
--- a/coordination/residency/lives_test.go
+++ b/coordination/residency/incarnations_test.go
@@ -6,7 +6,7 @@
 )
 
 // loadModels requests models one after the other, each until it is loaded.
-func (w *world) load(t *testing.T, e *simEngine, models ...string) {
+func (w *simCluster) loadModels(t *testing.T, e *simEngine, models ...string) {
 	t.Helper()
 	for _, m := range models {
 		for range 200 {
@@ -27,19 +27,19 @@
 // other models in the meantime.
 func TestLateOrderOfAnEarlierLifeFindsRoom(t *testing.T) {
 	for _, successor := range []bool{false, true} {
-		w := newWorld(0, 1)
+		w := newSimCluster(0, 1)
 		w.conf.Models = testEngine(4).Models
 		w.fence = 0
 		w.takeOver() // as the first coordinator of the service
 		e := w.engines[0]
 		e.onDisk = map[string]bool{"m00": true, "m01": true, "m02": true, "m03": true}
-		w.load(t, e, "m00", "m01")
+		w.loadModels(t, e, "m00", "m01")
 		w.p.Want(w.now, Want{Model: "m00", Adapter: "a1"})
 		w.run(time.Second)
 		if e.sequence != 3 {
 			t.Fatalf("the engine has accepted %d orders, want 3", e.sequence)
 		}
-		w.lateBy, w.chance = 6*time.Second, func() string { return "late" }
+		w.lateDelay, w.fate = 6*time.Second, func() string { return "late" }
 		for range 50 {
 			w.p.Want(w.now, Want{Model: "m03"})
 			w.step()
@@ -47,7 +47,7 @@
 		if len(w.late) == 0 {
 			t.Fatal("no late order is pending")
 		}
-		w.chance = nil
+		w.fate = nil
 		e.restart(w.now)
 		if successor {
 			w.takeOver()
@@ -68,7 +68,7 @@
 // arrives later changes nothing.
 func TestNextLifeIsKnownByItsReport(t *testing.T) {
 	for _, listed := range []bool{true, false} {
-		w := newWorld(6, 2)
+		w := newSimCluster(6, 2)
 		e := w.engines[0]
 		e.sequence = 7
 		w.run(time.Second)
@@ -77,7 +77,7 @@
 		if listed {
 			w.entries()
 		} else {
-			w.p.workers["e0"].probe = w.now // as if a request had found the engine unreachable
+			w.p.engines["e0"].probeAt = w.now // as if a request had found the engine unreachable
 		}
 		w.run(500 * time.Millisecond)
 		w.p.ReceiveReport(w.now, old)
@@ -94,7 +94,7 @@
 // Requests at an earlier incarnation of an engine do not keep models of the present
 // incarnation loaded.
 func TestDemandOfAnEarlierLifeDoesNotCount(t *testing.T) {
-	w := newWorld(3, 1)
+	w := newSimCluster(3, 1)
 	e := w.engines[0]
 	before := e.endpoint.Incarnation()
 	w.run(100 * time.Millisecond)
@@ -104,7 +104,7 @@
 	if n := len(w.p.demands["d"].Running); n != 0 {
 		t.Fatalf("%d places of the previous incarnation count, want 0", n)
 	}
-	w.p.ReceiveDemand(w.now, "d", Demand{Running: map[Place]int{{life("e0"), "m00"}: 1}})
+	w.p.ReceiveDemand(w.now, "d", Demand{Running: map[Place]int{{incarnation("e0"), "m00"}: 1}})
 	if w.p.demands["d"].Running[Place{e.endpoint.Incarnation(), "m00"}] != 1 {
 		t.Fatal("demand without a start time does not count for the present incarnation")
 	}
@@ -113,9 +113,9 @@
 // A new coordinator keeps memory free only at engines that may have started after an order
 // of its predecessor was sent. It does so neither at engines that hold models which nobody
 // has ordered, nor at engines that have run for longer than an order may be delayed.
-func TestPlacesAreKeptFreeOnlyAfterARestart(t *testing.T) {
+func TestMemoryIsKeptFreeOnlyAfterRestart(t *testing.T) {
 	for _, c := range []struct {
-		what     string
+		name     string
 		age      time.Duration
 		sequence uint64
 		want     bool
@@ -124,14 +124,14 @@
 		{"never restarted", 5 * time.Second, 2, false},
 		{"running for long", 20 * time.Second, 3, false},
 	} {
-		w := newWorld(3, 1)
+		w := newSimCluster(3, 1)
 		e := w.engines[0]
 		e.endpoint.StartUnixMs, e.sequence = w.now.Add(-c.age).UnixMilli(), c.sequence
 		e.publish()
 		w.takeOver()
 		w.run(400 * time.Millisecond)
-		if got := w.p.workers["e0"].unknownLate; got != c.want {
-			t.Errorf("%s: memory kept free: %v, want %v", c.what, got, c.want)
+		if got := w.p.engines["e0"].unknownLateOrder; got != c.want {
+			t.Errorf("%s: memory kept free: %v, want %v", c.name, got, c.want)
 		}
 	}
 }
--- a/coordination/residency/limits.go
+++ b/coordination/residency/limits.go
@@ -13,45 +13,45 @@
 const fullFor = 1500 * time.Millisecond
 
 // incarnationLimit is the rate limit that one incarnation of an engine reports.
-type limitedLife struct {
-	life fleet.Incarnation
-	word limit.Report
+type incarnationLimit struct {
+	incarnation fleet.Incarnation
+	report      limit.Report
 }
 
 // SetLimit sets the rate limit that an engine reports, or removes it if the engine no
 // longer reports one.
-func (p *Planner) SetLimit(life fleet.Incarnation, w limit.Report) {
-	if w.Limited {
-		p.limits[life.ID] = limitedLife{life, w}
+func (p *Planner) SetLimit(incarnation fleet.Incarnation, r limit.Report) {
+	if r.Limited {
+		p.limits[incarnation.ID] = incarnationLimit{incarnation, r}
 		return
 	}
-	if l, known := p.limits[life.ID]; known && l.life.Matches(life) {
-		delete(p.limits, life.ID)
+	if l, known := p.limits[incarnation.ID]; known && l.incarnation.Matches(incarnation) {
+		delete(p.limits, incarnation.ID)
 	}
-	if worker := p.workerOf(life); worker != nil {
-		worker.fullUntil = time.Time{}
+	if e := p.engineOf(incarnation); e != nil {
+		e.fullUntil = time.Time{}
 	}
 }
 
 // markFull records that engines have no capacity left under their rate limits, as reported
 // by a daemon. Their replicas do not count during that time, so that another one is loaded
 // if it is worth it.
-func (p *Planner) full(now time.Time, lives []fleet.Incarnation) {
-	for _, life := range lives {
-		if w := p.workerOf(life); w != nil {
-			w.fullUntil = now.Add(fullFor)
+func (p *Planner) markFull(now time.Time, incarnations []fleet.Incarnation) {
+	for _, incarnation := range incarnations {
+		if e := p.engineOf(incarnation); e != nil {
+			e.fullUntil = now.Add(fullFor)
 		}
 	}
 }
 
-func (w *worker) isFull(now time.Time) bool { return now.Before(w.fullUntil) }
+func (e *engineState) isFull(now time.Time) bool { return now.Before(e.fullUntil) }
 
 // capacity returns how many requests an engine can process at once: the declared number of
 // slots, or less under its rate limit.
-func (p *Planner) capacity(w *worker) int {
-	declared := max(1, w.endpoint.Slots)
-	if l, limited := p.limits[w.life.ID]; limited && l.life.Matches(w.life) {
-		return min(declared, l.word.Capacity(p.runTime()))
+func (p *Planner) capacity(e *engineState) int {
+	declared := max(1, e.endpoint.Slots)
+	if l, limited := p.limits[e.incarnation.ID]; limited && l.incarnation.Matches(e.incarnation) {
+		return min(declared, l.report.Capacity(p.runTime()))
 	}
 	return declared
 }
--- a/coordination/residency/limits_test.go
+++ b/coordination/residency/limits_test.go
@@ -12,14 +12,14 @@
 // so as long as they have requests for the model: another engine loads the model. Once the
 // limit has ended, the first holder counts again.
 func TestModelOfAnEngineWithoutRoomIsLoadedElsewhere(t *testing.T) {
-	w := newSlottedWorld(9, 3)
-	want := Want{Model: "m00", Full: []fleet.Incarnation{life("e0")}}
-	w.p.SetLimit(life("e0"), limit.Report{Rate: 1, Limited: true})
+	w := newSlottedCluster(9, 3)
+	want := Want{Model: "m00", Full: []fleet.Incarnation{incarnation("e0")}}
+	w.p.SetLimit(incarnation("e0"), limit.Report{Rate: 1, Limited: true})
 	if a := w.p.Want(w.now, want); a.Endpoint.ID == "e0" || a.Refused != "" || a.ReadyIn == 0 {
 		t.Fatalf("Want with the only holder full: %+v, want a load at another engine", a)
 	}
 	for range 100 {
-		w.p.ReceiveDemand(w.now, "d", Demand{Active: map[string]int{"m00": 2}, Running: map[Place]int{{Endpoint: life("e0"), Model: "m00"}: 1}})
+		w.p.ReceiveDemand(w.now, "d", Demand{Active: map[string]int{"m00": 2}, Running: map[Place]int{{Endpoint: incarnation("e0"), Model: "m00"}: 1}})
 		w.p.Want(w.now, want)
 		w.run(100 * time.Millisecond)
 	}
@@ -29,16 +29,16 @@
 	if a := w.p.Want(w.now, want); a.Endpoint.ID == "e0" || a.ReadyIn != 0 {
 		t.Fatalf("Want with a second holder: %+v, want the second holder at once", a)
 	}
-	w.p.SetLimit(life("e0"), limit.Report{})
-	if w.p.workerOf(life("e0")).isFull(w.now) {
+	w.p.SetLimit(incarnation("e0"), limit.Report{})
+	if w.p.engineOf(incarnation("e0")).isFull(w.now) {
 		t.Fatal("engine still counts as full after the end of its limit")
 	}
 	w.check(t)
 }
 
 // newSlottedCluster returns a cluster whose engines process 64 requests at once.
-func newSlottedWorld(models, engines int) *world {
-	w := newWorld(models, engines)
+func newSlottedCluster(models, engines int) *simCluster {
+	w := newSimCluster(models, engines)
 	for _, e := range w.engines {
 		e.endpoint.Slots = 64
 	}
@@ -48,8 +48,8 @@
 }
 
 // When no engine has capacity left, no engine is ordered to load more than it can hold.
-func TestAllHoldersWithoutRoom(t *testing.T) {
-	w := newWorld(9, 3)
+func TestAllHoldersFull(t *testing.T) {
+	w := newSimCluster(9, 3)
 	w.run(time.Second)
 	var full []fleet.Incarnation
 	for _, e := range w.engines {
@@ -67,18 +67,18 @@
 
 // An engine under a rate limit counts as full with fewer requests.
 func TestLimitIsTheEnginesCapacity(t *testing.T) {
-	w := newSlottedWorld(6, 2)
-	worker := w.p.workerOf(life("e0"))
-	if n := w.p.capacity(worker); n != 64 {
+	w := newSlottedCluster(6, 2)
+	engine := w.p.engineOf(incarnation("e0"))
+	if n := w.p.capacity(engine); n != 64 {
 		t.Fatalf("capacity without a limit: %d slots, want 64", n)
 	}
-	w.p.SetLimit(life("e0"), limit.Report{Rate: 2, Limited: true})
-	if n := w.p.capacity(worker); n != 2 {
+	w.p.SetLimit(incarnation("e0"), limit.Report{Rate: 2, Limited: true})
+	if n := w.p.capacity(engine); n != 2 {
 		t.Fatalf("capacity at 2 requests a second of 1 s each: %d slots, want 2", n)
 	}
-	w.p.sentTo(w.now, worker, "d")
-	w.p.sentTo(w.now, worker, "d")
-	if d := w.p.startsIn(worker); d <= 0 {
+	w.p.addSent(w.now, engine, "d")
+	w.p.addSent(w.now, engine, "d")
+	if d := w.p.startsIn(engine); d <= 0 {
 		t.Fatal("third request would start at once, want a wait for a slot")
 	}
 }
--- a/coordination/residency/load_test.go
+++ b/coordination/residency/load_test.go
@@ -12,7 +12,7 @@
 // accepted, half of the loads were refused.
 func TestSwapsWaitForTheUnload(t *testing.T) {
 	for _, takes := range []time.Duration{10 * time.Millisecond, 70 * time.Millisecond, 150 * time.Millisecond} {
-		w := newWorld(12, 2)
+		w := newSimCluster(12, 2)
 		for _, e := range w.engines {
 			e.unloadTime = takes
 			for i := range 12 {
@@ -24,8 +24,8 @@
 			w.p.Want(w.now, Want{Model: fmt.Sprintf("m%02d", i%12)})
 			w.run(400 * time.Millisecond)
 		}
-		if part := float64(w.refused) / float64(w.orders); part > 0.05 {
-			t.Errorf("unloads of %v: %.3f of %d orders were refused, want at most 0.05", takes, part, w.orders)
+		if share := float64(w.refused) / float64(w.orders); share > 0.05 {
+			t.Errorf("unloads of %v: %.3f of %d orders were refused, want at most 0.05", takes, share, w.orders)
 		}
 	}
 }
@@ -38,7 +38,7 @@
 // and 0.6 s per request.
 func TestNearCopyIsWaitedForBehindShortRequests(t *testing.T) {
 	const models = 36
-	w := newWorld(models, 6) // with m00 to m17 loaded
+	w := newSimCluster(models, 6) // with m00 to m17 loaded
 	for i := 18; i < models; i++ {
 		w.engines[i%6].onDisk[fmt.Sprintf("m%02d", i)] = true
 	}
@@ -52,7 +52,7 @@
 	busy := Demand{Active: map[string]int{}, Running: map[Place]int{}, FirstEvents: map[Place]FirstEvents{}}
 	for i := range 18 {
 		model := fmt.Sprintf("m%02d", i)
-		place := Place{life(fmt.Sprintf("e%d", i/3)), model}
+		place := Place{incarnation(fmt.Sprintf("e%d", i/3)), model}
 		busy.Active[model], busy.Running[place] = 1, 1
 		busy.FirstEvents[place] = FirstEvents{Count: 1}
 	}
@@ -78,13 +78,13 @@
 }
 
 // A busy model is not expected to become idle, so a request for another model is refused.
-func TestBusyModelIsNotWaitedFor(t *testing.T) {
-	w := newWorld(4, 1)
+func TestBusyModelIsNotExpectedToBecomeIdle(t *testing.T) {
+	w := newSimCluster(4, 1)
 	w.engines[0].onDisk["m03"] = true
 	w.run(time.Second)
 	d := Demand{Active: map[string]int{}, Running: map[Place]int{}}
 	for _, m := range []string{"m00", "m01", "m02"} {
-		d.Active[m], d.Running[Place{life("e0"), m}] = 30, 30
+		d.Active[m], d.Running[Place{incarnation("e0"), m}] = 30, 30
 	}
 	w.p.ReceiveDemand(w.now, "d", d)
 	if a := w.p.Want(w.now, Want{Model: "m03"}); a.Refused != RefusedNoRoom {
@@ -95,13 +95,13 @@
 // Load: more rare models than the engine has room for, one short request each. A model is
 // replaced by the next one as soon as its daemon has reported the end of its request.
 func TestEndedRequestFreesItsPlaceSoon(t *testing.T) {
-	w := newWorld(4, 1)
+	w := newSimCluster(4, 1)
 	w.engines[0].onDisk["m03"] = true
 	w.run(time.Second)
 	d := Demand{Active: map[string]int{}, Running: map[Place]int{}}
 	for _, m := range []string{"m00", "m01", "m02"} {
 		w.p.Want(w.now, Want{Model: m})
-		d.Active[m], d.Running[Place{life("e0"), m}] = 1, 1
+		d.Active[m], d.Running[Place{incarnation("e0"), m}] = 1, 1
 	}
 	w.p.ReceiveDemand(w.now, "d", d)
 	w.p.Want(w.now, Want{Model: "m03"})
@@ -117,15 +117,15 @@
 // small host can process, however many daemons there are, and does not take a model for
 // idle before the daemons had time to report that it runs requests.
 func TestTellsAreBounded(t *testing.T) {
-	w := newWorld(3, 1)
+	w := newSimCluster(3, 1)
 	for n := 1; n <= 400; n++ {
 		w.p.ReceiveDemand(w.now, fmt.Sprint("d", n), Demand{})
-		soon := DemandDelay(n)
-		if perSecond := float64(n) / soon.Seconds(); perSecond > tellsMost+1 {
+		delay := DemandDelay(n)
+		if perSecond := float64(n) / delay.Seconds(); perSecond > maxDemandRate+1 {
 			t.Fatalf("%d daemons send %.0f reports a second", n, perSecond)
 		}
-		if idle := w.p.idleAfter(); idle <= soon {
-			t.Fatalf("%d daemons report after %v, but a model counts as idle after %v", n, soon, idle)
+		if idle := w.p.idleAfterAnswer(); idle <= delay {
+			t.Fatalf("%d daemons report after %v, but a model counts as idle after %v", n, delay, idle)
 		}
 	}
 }
@@ -134,7 +134,7 @@
 // for models that are not in the schedule are given the time at which the first engine will
 // have finished its scheduled work, rather than being asked to retry at once.
 func TestNoRoomNamesATime(t *testing.T) {
-	w := newWorld(30, 2) // room for six models
+	w := newSimCluster(30, 2) // room for six models
 	for i := 6; i < 30; i++ {
 		w.engines[i%2].onDisk[fmt.Sprintf("m%02d", i)] = true
 	}
--- a/coordination/residency/planner_test.go
+++ b/coordination/residency/planner_test.go
@@ -25,29 +25,29 @@
 }
 
 // simCluster runs a planner against simulated engines in virtual time.
-type world struct {
-	now     time.Time
-	conf    *routing.Engine
-	engines []*simEngine
-	p       *Planner
-	lag     time.Duration
-	late    []delayedOrder
-	lateBy  time.Duration // delay of an order with the fate "late"
-	fence   uint64
+type simCluster struct {
+	now       time.Time
+	conf      *routing.Engine
+	engines   []*simEngine
+	p         *Planner
+	reportLag time.Duration
+	late      []delayedOrder
+	lateDelay time.Duration // delay of an order with the fate "late"
+	fence     uint64
 	// chance returns the fate of an order; nil means that all orders are answered.
-	chance func() string
+	fate func() string
 	// beforeStep is called before each step if it is not nil.
 	beforeStep func(step time.Duration)
 	// silent returns whether an engine fails to report; nil means that it always reports.
-	silent  func() bool
-	orders  int
-	refused int // orders that found an engine busy
+	noReport func() bool
+	orders   int
+	refused  int // orders that found an engine busy
 	// accepted is called for each order that an engine accepts if it is not nil.
 	accepted func(Order)
 }
 
 // holders returns the number of engines that have a model loaded.
-func (w *world) holders(model string) int {
+func (w *simCluster) holders(model string) int {
 	n := 0
 	for _, e := range w.engines {
 		if _, ok := e.models[model]; ok {
@@ -63,8 +63,8 @@
 	order Order
 }
 
-func newWorld(models, engines int) *world {
-	w := &world{now: start, conf: testEngine(models), lag: 200 * time.Millisecond, lateBy: 3 * time.Second}
+func newSimCluster(models, engines int) *simCluster {
+	w := &simCluster{now: start, conf: testEngine(models), reportLag: 200 * time.Millisecond, lateDelay: 3 * time.Second}
 	for i := range engines {
 		var held []string
 		for j := range 3 {
@@ -79,7 +79,7 @@
 }
 
 // takeOver replaces the planner by that of another daemon.
-func (w *world) takeOver() {
+func (w *simCluster) takeOver() {
 	w.fence++
 	w.p = New(Options{Holder: fmt.Sprintf("h%d", w.fence), InitialStoreConcurrency: 4, RateWindow: 5 * time.Second, RateFactor: 1.1})
 	w.p.Configure(Config{Service: "s", Engine: w.conf})
@@ -87,7 +87,7 @@
 	w.entries()
 }
 
-func (w *world) entries() {
+func (w *simCluster) entries() {
 	list := make([]*fleet.Endpoint, len(w.engines))
 	for i, e := range w.engines {
 		list[i] = e.endpoint
@@ -95,7 +95,7 @@
 	w.p.SetEndpoints(w.now, list)
 }
 
-func (w *world) engine(id string) *simEngine {
+func (w *simCluster) engine(id string) *simEngine {
 	for _, e := range w.engines {
 		if e.endpoint.ID == id {
 			return e
@@ -105,7 +105,7 @@
 }
 
 // step advances the simulation by 20 ms.
-func (w *world) step() {
+func (w *simCluster) step() {
 	w.now = w.now.Add(20 * time.Millisecond)
 	if w.beforeStep != nil {
 		w.beforeStep(20 * time.Millisecond)
@@ -123,12 +123,12 @@
 		}
 	}
 	r := w.p.Ready(w.now)
-	for _, life := range r.Probes {
-		if e := w.engine(life.ID); e != nil && (w.silent == nil || !w.silent()) {
-			w.p.ReceiveReport(w.now, e.report(w.now, w.lag))
+	for _, incarnation := range r.Probes {
+		if e := w.engine(incarnation.ID); e != nil && (w.noReport == nil || !w.noReport()) {
+			w.p.ReceiveReport(w.now, e.report(w.now, w.reportLag))
 			continue
 		}
-		w.p.ReportFailed(w.now, life)
+		w.p.ReportFailed(w.now, incarnation)
 	}
 	for _, o := range r.Orders {
 		w.orders++
@@ -143,10 +143,10 @@
 	}
 }
 
-func (w *world) send(o Order) Outcome {
+func (w *simCluster) send(o Order) Outcome {
 	fate := ""
-	if w.chance != nil {
-		fate = w.chance()
+	if w.fate != nil {
+		fate = w.fate()
 	}
 	e := w.engine(o.Endpoint.ID)
 	switch {
@@ -155,7 +155,7 @@
 	case fate == "lost":
 		return Unanswered
 	case fate == "late":
-		w.late = append(w.late, delayedOrder{w.now.Add(w.lateBy), o})
+		w.late = append(w.late, delayedOrder{w.now.Add(w.lateDelay), o})
 		return Unanswered
 	case fate == "answer lost":
 		e.order(w.now, o)
@@ -164,7 +164,7 @@
 	return e.order(w.now, o)
 }
 
-func (w *world) run(d time.Duration) {
+func (w *simCluster) run(d time.Duration) {
 	for end := w.now.Add(d); w.now.Before(end); {
 		w.step()
 	}
@@ -173,7 +173,7 @@
 // A busy model gets as many replicas as its requests need and no more, however long these
 // take to load.
 func TestNoMoreReplicasThanNeeded(t *testing.T) {
-	w := newWorld(12, 6)
+	w := newSimCluster(12, 6)
 	loads := 0
 	w.accepted = func(o Order) {
 		if o.Model == "m00" && !o.Unload {
@@ -181,7 +181,7 @@
 		}
 	}
 	for range 10 {
-		w.p.ReceiveDemand(w.now, "d", Demand{Active: map[string]int{"m00": 20}, Running: map[Place]int{{life("e0"), "m00"}: 20}})
+		w.p.ReceiveDemand(w.now, "d", Demand{Active: map[string]int{"m00": 20}, Running: map[Place]int{{incarnation("e0"), "m00"}: 20}})
 		w.run(time.Second)
 	}
 	if held := w.holders("m00"); held != needed(20, w.p.perReplica()) || loads != needed(20, w.p.perReplica())-1 {
@@ -192,13 +192,13 @@
 // A model whose only replica is overloaded gets another one, although daemons send no Want
 // calls for it and rare models are requested all the time.
 func TestOverrunModelGetsAReplica(t *testing.T) {
-	w := newWorld(90, 6)
+	w := newSimCluster(90, 6)
 	for i := range 70 {
 		running := 1
 		if i >= 20 { // all concurrent loads of the weight store are in use by then
 			running = 80
 		}
-		w.p.ReceiveDemand(w.now, "d", Demand{Active: map[string]int{"m00": running}, Running: map[Place]int{{life("e0"), "m00"}: running}})
+		w.p.ReceiveDemand(w.now, "d", Demand{Active: map[string]int{"m00": running}, Running: map[Place]int{{incarnation("e0"), "m00"}: running}})
 		w.p.Want(w.now, Want{Model: fmt.Sprintf("m%02d", 20+i)})
 		w.run(200 * time.Millisecond)
 	}
@@ -210,7 +210,7 @@
 // An engine that a daemon cannot reach and that does not answer the immediate probe is
 // replaced long before its entry in the store expires.
 func TestUnreachableHolderIsReplaced(t *testing.T) {
-	w := newWorld(12, 3)
+	w := newSimCluster(12, 3)
 	w.run(time.Second)
 	want := Want{Model: "m00"}
 	first := w.p.Want(w.now, want)
@@ -218,7 +218,7 @@
 		t.Fatalf("m00 is at %q, want e0", first.Endpoint.ID)
 	}
 	w.engines = w.engines[1:] // it has crashed; its entry still exists
-	want.Avoid, want.Unreachable = life("e0"), true
+	want.Avoid, want.Unreachable = incarnation("e0"), true
 	w.p.Want(w.now, want)
 	w.run(100 * time.Millisecond)
 	if a := w.p.Want(w.now, Want{Model: "m00"}); a.Endpoint.ID == "e0" || a.Refused != "" {
@@ -229,9 +229,9 @@
 // An endpoint that has just failed a request is returned to it again only if no other
 // endpoint holds the model, and after a pause.
 func TestFailedHolderIsNamedAfterAPause(t *testing.T) {
-	w := newWorld(12, 3)
+	w := newSimCluster(12, 3)
 	w.run(time.Second)
-	a := w.p.Want(w.now, Want{Model: "m00", Avoid: life("e0")})
+	a := w.p.Want(w.now, Want{Model: "m00", Avoid: incarnation("e0")})
 	if a.Endpoint.ID != "e0" || a.ReadyIn != avoidedPause || a.Refused != "" {
 		t.Fatalf("failed request: %+v, want its only holder after a pause", a)
 	}
@@ -243,16 +243,16 @@
 // An engine that one daemon cannot reach stays in use as long as it answers the
 // coordinator.
 func TestUnreachableForOneDaemonOnly(t *testing.T) {
-	w := newWorld(12, 3)
+	w := newSimCluster(12, 3)
 	w.run(time.Second)
-	w.p.Want(w.now, Want{Model: "m00", Avoid: life("e0"), Unreachable: true})
+	w.p.Want(w.now, Want{Model: "m00", Avoid: incarnation("e0"), Unreachable: true})
 	w.run(time.Second)
 	if a := w.p.Want(w.now, Want{Model: "m00"}); a.Endpoint.ID != "e0" || a.ReadyIn > 0 {
 		t.Fatalf("engine not used after the report of one daemon: %+v", a)
 	}
 }
 
-func (w *world) check(t interface{ Fatalf(string, ...any) }) {
+func (w *simCluster) check(t interface{ Fatalf(string, ...any) }) {
 	for _, e := range w.engines {
 		if e.overloaded {
 			t.Fatalf("engine %s received orders beyond its memory or adapter slots: %v", e.endpoint.ID, e.loaded())
@@ -261,7 +261,7 @@
 }
 
 func TestWantedModelComesFromDiskWithinASecond(t *testing.T) {
-	w := newWorld(4, 1)
+	w := newSimCluster(4, 1)
 	w.engines[0].onDisk["m03"] = true
 	w.run(4 * time.Second) // its models are idle by then
 	a := w.p.Want(w.now, Want{Model: "m03"})
@@ -277,7 +277,7 @@
 
 // A burst of requests for one model causes a single load.
 func TestBurstCausesOneLoad(t *testing.T) {
-	w := newWorld(10, 3)
+	w := newSimCluster(10, 3)
 	w.run(4 * time.Second)
 	for range 50 {
 		w.p.Want(w.now, Want{Model: "m09"})
@@ -297,7 +297,7 @@
 // A load of the former coordinator is in progress while the new one probes the engine. Its
 // effect is in no report yet, so no order may be based on these reports.
 func TestForeignOrderInProgressMakesStateUnknown(t *testing.T) {
-	w := newWorld(8, 1)
+	w := newSimCluster(8, 1)
 	e := w.engines[0]
 	e.advance(w.now)
 	e.order(w.now, Order{Unload: true, Model: "m00", Expect: 0})
@@ -318,9 +318,9 @@
 // An order that is carried out after the planner stopped waiting for its answer has no
 // effect if another order was accepted in between, and is counted otherwise.
 func TestLateOrdersNeverOverload(t *testing.T) {
-	w := newWorld(9, 2)
+	w := newSimCluster(9, 2)
 	n := 0
-	w.chance = func() string {
+	w.fate = func() string {
 		n++
 		if n%3 == 0 {
 			return "late"
@@ -336,11 +336,11 @@
 
 // After an engine has answered that it does not hold a model, the planner does not return
 // it for that model again before its next report.
-func TestAbsentModelIsNotNamedAgain(t *testing.T) {
-	w := newWorld(3, 1)
+func TestMissingModelIsNotReturnedBeforeReport(t *testing.T) {
+	w := newSimCluster(3, 1)
 	w.run(time.Second)
 	delete(w.engines[0].models, "m01")
-	a := w.p.Want(w.now, Want{Model: "m01", MissingAt: life("e0")})
+	a := w.p.Want(w.now, Want{Model: "m01", MissingAt: incarnation("e0")})
 	if a.Refused == "" && a.ReadyIn == 0 {
 		t.Fatalf("answer %+v uses the engine that has just answered that it lacks the model", a)
 	}
@@ -348,7 +348,7 @@
 
 // The concurrent loads of the store are used for the model that most requests wait for.
 func TestStorePlacesGoToWhatIsWantedMost(t *testing.T) {
-	w := newWorld(20, 2)
+	w := newSimCluster(20, 2)
 	w.run(100 * time.Millisecond)
 	for i := 6; i < 14; i++ {
 		w.p.Want(w.now, Want{Model: fmt.Sprintf("m%02d", i)})
@@ -366,7 +366,7 @@
 }
 
 func TestNoOrderBeforeTheFormerHolderIsSilent(t *testing.T) {
-	w := newWorld(9, 2)
+	w := newSimCluster(9, 2)
 	w.p.SetLease(w.now, Lease{Held: true, Fence: 9, OrdersFrom: w.now.Add(3 * time.Second)})
 	w.p.Want(w.now, Want{Model: "m08"})
 	if a := w.p.Want(w.now, Want{Model: "m00", Adapter: "a1"}); a.ReadyIn < 2*time.Second {
@@ -385,21 +385,21 @@
 // The unload of an adapter that has not reached its engine frees no slot, even if the
 // engine does not report.
 func TestUnloadThatWasNotAcceptedFreesNothing(t *testing.T) {
-	w := newWorld(3, 1)
+	w := newSimCluster(3, 1)
 	w.run(time.Second)
 	for i := 1; i <= 3; i++ {
 		w.p.Want(w.now, Want{Model: "m00", Adapter: fmt.Sprintf("a%d", i)})
 		w.run(2 * time.Second)
 	}
 	fates := []string{"unsent"}
-	w.chance = func() string {
+	w.fate = func() string {
 		fate := ""
 		if len(fates) > 0 {
 			fate, fates = fates[0], fates[1:]
 		}
 		return fate
 	}
-	w.silent = func() bool { return true }
+	w.noReport = func() bool { return true }
 	w.p.Want(w.now, Want{Model: "m00", Adapter: "a4"})
 	w.run(3 * time.Second)
 	w.check(t)
@@ -407,15 +407,15 @@
 
 // An adapter with a long load time occupies its slot while it loads, even if an endpoint
 // has answered that it does not hold the adapter.
-func TestAdapterOnItsWayHoldsItsSlot(t *testing.T) {
-	w := newWorld(3, 1)
+func TestLoadingAdapterOccupiesItsSlot(t *testing.T) {
+	w := newSimCluster(3, 1)
 	w.engines[0].adapterTime = 3 * time.Second
 	w.run(time.Second)
 	for i := 1; i <= 4; i++ {
 		name := fmt.Sprintf("a%d", i)
 		w.p.Want(w.now, Want{Model: "m00", Adapter: name})
 		w.run(300 * time.Millisecond)
-		w.p.Want(w.now, Want{Model: "m00", Adapter: name, MissingAt: life("e0")})
+		w.p.Want(w.now, Want{Model: "m00", Adapter: name, MissingAt: incarnation("e0")})
 		w.run(300 * time.Millisecond)
 		w.check(t)
 	}
@@ -424,7 +424,7 @@
 // An adapter that requests still use is unloaded later: its slot is not free when the
 // unload is accepted.
 func TestAdapterInUseHoldsItsSlotUntilItIsGone(t *testing.T) {
-	w := newWorld(3, 1)
+	w := newSimCluster(3, 1)
 	w.run(time.Second)
 	for i := 1; i <= 3; i++ {
 		w.p.Want(w.now, Want{Model: "m00", Adapter: fmt.Sprintf("a%d", i)})
@@ -442,12 +442,12 @@
 // A replica with running requests is not unloaded, even if there are more replicas than
 // needed: its unload would block all other orders to the engine.
 func TestReplicaInUseDoesNotMakeWay(t *testing.T) {
-	w := newWorld(4, 1)
+	w := newSimCluster(4, 1)
 	e := w.engines[0]
 	e.onDisk["m03"] = true
 	for range 10 {
 		w.run(500 * time.Millisecond)
-		w.p.ReceiveDemand(w.now, "d", Demand{Active: map[string]int{"m00": 1}, Running: map[Place]int{{life("e0"), "m00"}: 1}})
+		w.p.ReceiveDemand(w.now, "d", Demand{Active: map[string]int{"m00": 1}, Running: map[Place]int{{incarnation("e0"), "m00"}: 1}})
 	}
 	w.p.Want(w.now, Want{Model: "m03"})
 	w.run(2 * time.Second)
@@ -464,11 +464,11 @@
 func TestNeverBeyondMemory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		models := rapid.IntRange(4, 14).Draw(t, "models")
-		w := newWorld(models, rapid.IntRange(1, 4).Draw(t, "engines"))
-		w.lag = time.Duration(rapid.IntRange(0, 250).Draw(t, "lag")) * time.Millisecond
+		w := newSimCluster(models, rapid.IntRange(1, 4).Draw(t, "engines"))
+		w.reportLag = time.Duration(rapid.IntRange(0, 250).Draw(t, "lag")) * time.Millisecond
 		fates := []string{"", "", "", "lost", "late", "answer lost", "unsent"}
-		w.chance = func() string { return rapid.SampledFrom(fates).Draw(t, "fate") }
-		w.silent = func() bool { return rapid.IntRange(0, 3).Draw(t, "report") == 0 }
+		w.fate = func() string { return rapid.SampledFrom(fates).Draw(t, "fate") }
+		w.noReport = func() bool { return rapid.IntRange(0, 3).Draw(t, "report") == 0 }
 		for range rapid.IntRange(5, 25).Draw(t, "steps") {
 			w.event(t, models)
 			w.run(time.Duration(rapid.IntRange(1, 60).Draw(t, "wait")) * 20 * time.Millisecond)
@@ -477,7 +477,7 @@
 	})
 }
 
-func (w *world) event(t *rapid.T, models int) {
+func (w *simCluster) event(t *rapid.T, models int) {
 	model := fmt.Sprintf("m%02d", rapid.IntRange(0, models-1).Draw(t, "model"))
 	e := w.engines[rapid.IntRange(0, len(w.engines)-1).Draw(t, "engine")]
 	switch rapid.IntRange(0, 11).Draw(t, "event") {
--- a/coordination/residency/pressure.go
+++ b/coordination/residency/pressure.go
@@ -11,23 +11,23 @@
 	pressureHalfLife = 1500 * time.Millisecond
 	// overloadShare is the share of slow first events from which a model gets one more
 	// replica. A lower value would take room from rare models.
-	pressedShare = 0.3
+	overloadShare = 0.3
 	// minOverloadEvents is the minimum number of slow first events for one more replica, so
 	// that one or two slow requests are not enough.
-	pressedLeast = 3.0
+	minOverloadEvents = 3.0
 	// normalShare is the share of slow first events below which the replicas can serve
 	// their present load. It is a third of overloadShare, so that the decision does not
 	// oscillate.
-	calmShare = 0.1
+	normalShare = 0.1
 	// replicaSettleTime is the time that a new replica has to show its effect: daemons
 	// learn of it within one heartbeat of its engine.
-	pressureSettles = 1500 * time.Millisecond
+	replicaSettleTime = 1500 * time.Millisecond
 	// targetUtilization is the share of a replica's capacity that is planned to be used, so
 	// that a replica is removed only after the load has dropped by a fifth.
-	headroom = 0.8
+	targetUtilization = 0.8
 	// lateLossShare is the share of a request's value that is assumed to be lost by a late
 	// answer.
-	lostPart = 0.5
+	lateLossShare = 0.5
 )
 
 // pressure measures how quickly the engines that hold a model begin to answer. The load
@@ -44,7 +44,7 @@
 	perReplica float64
 }
 
-func (s *pressure) fade(now time.Time) {
+func (s *pressure) decay(now time.Time) {
 	f := math.Exp2(-now.Sub(s.at).Seconds() / pressureHalfLife.Seconds())
 	s.count, s.slow, s.at = s.count*f, s.slow*f, now
 	s.seconds = s.seconds*f + (1-f)*pressureHalfLife.Seconds()/math.Ln2
@@ -53,16 +53,18 @@
 // rate returns the number of first events per second.
 func (s *pressure) rate() float64 { return s.count / s.seconds }
 
-func (s *pressure) isPressed() bool { return s.slow >= pressedLeast && s.slow >= pressedShare*s.count }
+func (s *pressure) isOverloaded() bool {
+	return s.slow >= minOverloadEvents && s.slow >= overloadShare*s.count
+}
 
 // addFirstEvents adds the first events of a model that a daemon reports.
-func (p *Planner) pressed(now time.Time, model string, f FirstEvents) {
+func (p *Planner) addFirstEvents(now time.Time, model string, f FirstEvents) {
 	s := p.pressures[model]
 	if s == nil {
 		s = &pressure{at: now, seconds: DemandInterval.Seconds()}
 		p.pressures[model] = s
 	}
-	s.fade(now)
+	s.decay(now)
 	s.count += float64(f.Count)
 	s.slow += float64(f.Slow)
 	s.rank = f.Rank
@@ -70,15 +72,15 @@
 
 // minFirstEvents is the decayed number of first events below which a model's pressure is
 // deleted.
-const forgottenAt = 0.01
+const minFirstEvents = 0.01
 
 // replicasForPressure returns the replicas that are needed because of slow first events, by
 // model. The number grows by one at a time, once the previous replica has shown its effect.
-func (p *Planner) pressedReplicas(d *draft) map[string]int {
+func (p *Planner) replicasForPressure(d *draft) map[string]int {
 	need := map[string]int{}
 	for model, s := range p.pressures {
-		s.fade(d.now)
-		if s.count < forgottenAt {
+		s.decay(d.now)
+		if s.count < minFirstEvents {
 			delete(p.pressures, model)
 			continue
 		}
@@ -88,13 +90,13 @@
 		}
 		each := s.rate() / float64(ready.replicas)
 		switch {
-		case s.isPressed() && ready.replicas == d.replicas[model] && d.now.Sub(ready.since) > pressureSettles:
+		case s.isOverloaded() && ready.replicas == d.replicas[model] && d.now.Sub(ready.since) > replicaSettleTime:
 			s.perReplica = each
-		case s.perReplica > 0 && s.slow < calmShare*s.count:
+		case s.perReplica > 0 && s.slow < normalShare*s.count:
 			s.perReplica = max(s.perReplica, each)
 		}
 		if s.perReplica > 0 {
-			need[model] = min(int(math.Ceil(s.rate()/(s.perReplica*headroom))), ready.replicas+1, max(1, len(p.sorted)/2))
+			need[model] = min(int(math.Ceil(s.rate()/(s.perReplica*targetUtilization))), ready.replicas+1, max(1, len(p.sorted)/2))
 		}
 	}
 	return need
@@ -107,6 +109,6 @@
 	if s == nil || s.perReplica == 0 {
 		return 0
 	}
-	s.fade(now)
-	return lostPart * s.slow * rankValue(s.rank) * valueHalfLife.Seconds() / pressureHalfLife.Seconds()
+	s.decay(now)
+	return lateLossShare * s.slow * rankValue(s.rank) * valueHalfLife.Seconds() / pressureHalfLife.Seconds()
 }
--- a/coordination/residency/pressure_test.go
+++ b/coordination/residency/pressure_test.go
@@ -8,9 +8,9 @@
 
 // serve reports, for the given time, running requests of a model at an engine and perSecond
 // first events a second, of which the share slow is slow.
-func (w *world) serve(d time.Duration, engine, model string, running int, perSecond, slow float64) {
+func (w *simCluster) serve(d time.Duration, engine, model string, running int, perSecond, slow float64) {
 	const tick = 400 * time.Millisecond // interval at which daemons report
-	place := Place{life(engine), model}
+	place := Place{incarnation(engine), model}
 	for ; d > 0; d -= tick {
 		n := perSecond * tick.Seconds()
 		w.p.ReceiveDemand(w.now, "d", Demand{
@@ -27,7 +27,7 @@
 // running requests does not show the overload. The load corresponds to 44 requests a second
 // for the busiest model, with prompts of 640 tokens processed at 38.7 tokens a ms.
 func TestSlowAnswersAskForAReplica(t *testing.T) {
-	w := newWorld(90, 6)
+	w := newSimCluster(90, 6)
 	for i := range 18 {
 		w.p.Want(w.now, Want{Model: fmt.Sprintf("m%02d", 20+i)})
 		w.p.Want(w.now, Want{Model: fmt.Sprintf("m%02d", 40+i)})
@@ -46,7 +46,7 @@
 // An added replica is kept as long as one replica fewer could not serve the load, although
 // answers are fast again, and no more replicas are added.
 func TestReplicasAreKeptWhileTheLoadLasts(t *testing.T) {
-	w := newWorld(12, 6)
+	w := newSimCluster(12, 6)
 	loads := 0
 	w.accepted = func(o Order) {
 		if o.Model == "m00" && !o.Unload {
@@ -72,7 +72,7 @@
 	}
 	w.serve(10*time.Second, "e0", "m00", 15, 3, 0)
 	d = w.p.newDraft(w.now)
-	if got := d.pressed["m00"]; got > 1 {
+	if got := d.pressureReplicas["m00"]; got > 1 {
 		t.Errorf("%d replicas needed for a tenth of the load, want at most 1", got)
 	}
 }
@@ -80,13 +80,13 @@
 // Replicas are added one at a time, even if the load trebles, so that each has time to show
 // its effect.
 func TestReplicasComeOneAtATime(t *testing.T) {
-	w := newWorld(12, 6)
+	w := newSimCluster(12, 6)
 	w.serve(2*time.Second, "e0", "m00", 15, 30, 1)
 	for range 40 {
 		w.serve(400*time.Millisecond, "e0", "m00", 15, 90, 1)
 		d := w.p.newDraft(w.now)
 		ready := d.ready["m00"].replicas
-		if need := d.pressed["m00"]; need > ready+1 {
+		if need := d.pressureReplicas["m00"]; need > ready+1 {
 			t.Fatalf("%d replicas needed with %d ready, want at most one more", need, ready)
 		}
 	}
--- a/coordination/residency/rare_test.go
+++ b/coordination/residency/rare_test.go
@@ -14,7 +14,7 @@
 // about two seconds. Models have copies on the disks of a few engines, and busy models
 // occupy a share of the engines' room. The figures are those of the largest deployment.
 type rareLoad struct {
-	*world
+	*simCluster
 	rng      *rand.Rand
 	rate     float64 // requests a second
 	models   int
@@ -22,21 +22,21 @@
 	requests []*rareRequest // waiting
 	runs     []*rareRequest // running
 	waits    []time.Duration
-	left     int // requests whose caller gave up before they started
-	askedFor int
+	gaveUp   int // requests whose caller gave up before they started
+	arrived  int
 	// slotFreeAt holds when each slot of an engine becomes free, if engines queue the
 	// requests that they cannot start at once; nil means that all requests start at once.
 	slotFreeAt map[string][]time.Time
-	refuses    bool // reject requests that would start late at a full engine
-	turnedAway int
+	rejectLate bool // reject requests that would start late at a full engine
+	rejected   int
 }
 
 // rareDaemon is a daemon and the demand that it reports.
 type rareDaemon struct {
-	name   string
-	demand Demand
-	pace   DemandTimer
-	said   int // number of active models in the last report
+	name       string
+	demand     Demand
+	timer      DemandTimer
+	lastActive int // number of active models in the last report
 }
 
 type rareRequest struct {
@@ -49,9 +49,9 @@
 }
 
 const (
-	rareRun      = 2200 * time.Millisecond // mean
-	rarePatience = 8 * time.Second
-	rareTarget   = 1900 * time.Millisecond // a request is in time if it starts within this time
+	rareRun     = 2200 * time.Millisecond // mean
+	rareMaxWait = 8 * time.Second
+	rareTarget  = 1900 * time.Millisecond // a request is in time if it starts within this time
 )
 
 // newRareLoad returns a service with the given number of engines. copies is the maximum
@@ -59,7 +59,7 @@
 // models occupy.
 func newRareLoad(engines, models, copies, daemons int, busy float64, seed uint64) *rareLoad {
 	rng := rand.New(rand.NewPCG(seed, 7))
-	l := &rareLoad{world: &world{now: start, conf: testEngine(models), lag: 200 * time.Millisecond}, rng: rng, models: models}
+	l := &rareLoad{simCluster: &simCluster{now: start, conf: testEngine(models), reportLag: 200 * time.Millisecond}, rng: rng, models: models}
 	l.conf.Slots, l.conf.LoadsPerSecond = 12, 48
 	for name, m := range l.conf.Models {
 		m.LoadFromStore, m.LoadFromDisk, m.LoadFromMemory = 13200*time.Millisecond, 640*time.Millisecond, 470*time.Millisecond
@@ -101,7 +101,7 @@
 	l.takeOver()
 	for i := range daemons {
 		d := &rareDaemon{name: fmt.Sprint("d", i), demand: Demand{Active: map[string]int{}, Running: map[Place]int{}}}
-		d.pace.ObserveSent(l.now.Add(time.Duration(rng.IntN(650))*time.Millisecond), daemons)
+		d.timer.ObserveSent(l.now.Add(time.Duration(rng.IntN(650))*time.Millisecond), daemons)
 		l.daemons = append(l.daemons, d)
 	}
 	for i := range hot {
@@ -124,18 +124,18 @@
 }
 
 // simulate advances the simulation by d, in steps of 20 ms.
-func (l *rareLoad) play(d time.Duration) {
+func (l *rareLoad) simulate(d time.Duration) {
 	due := 0.0
 	for end := l.now.Add(d); l.now.Before(end); {
 		for due += l.rate * 0.02 * l.rng.ExpFloat64(); due >= 1; due-- {
-			l.askedFor++
+			l.arrived++
 			r := &rareRequest{model: fmt.Sprintf("m%02d", l.rng.IntN(l.models)), daemon: l.daemons[l.rng.IntN(len(l.daemons))], arrived: l.now, askAt: l.now}
 			r.daemon.demand.Active[r.model]++
 			l.requests = append(l.requests, r)
 		}
 		l.endRuns()
-		l.ask()
-		l.tell()
+		l.requestAll()
+		l.reportDemand()
 		l.step()
 	}
 }
@@ -148,7 +148,7 @@
 		drop(r.daemon.demand.Running, r.place)
 		drop(r.daemon.demand.Active, r.model)
 		if r.daemon.demand.Running[r.place] == 0 {
-			r.daemon.pace.ObserveFreed(l.now, len(l.daemons))
+			r.daemon.timer.ObserveFreed(l.now, len(l.daemons))
 		}
 		return true
 	})
@@ -160,10 +160,10 @@
 	}
 }
 
-func (l *rareLoad) ask() {
+func (l *rareLoad) requestAll() {
 	l.requests = slices.DeleteFunc(l.requests, func(r *rareRequest) bool {
-		if l.now.Sub(r.arrived) >= rarePatience {
-			l.left++
+		if l.now.Sub(r.arrived) >= rareMaxWait {
+			l.gaveUp++
 			drop(r.daemon.demand.Active, r.model)
 			return true
 		}
@@ -188,8 +188,8 @@
 	begins := l.now
 	run := time.Duration(float64(rareRun) * math.Exp(0.6*l.rng.NormFloat64()-0.18))
 	if l.slotFreeAt != nil {
-		if l.refuses && a.StartsIn > 150*time.Millisecond {
-			l.turnedAway++
+		if l.rejectLate && a.StartsIn > 150*time.Millisecond {
+			l.rejected++
 			drop(r.daemon.demand.Active, r.model)
 			return true
 		}
@@ -197,7 +197,7 @@
 	}
 	r.ends = begins.Add(run)
 	r.daemon.demand.Running[r.place]++
-	r.daemon.pace.ObserveChange(l.now, len(l.daemons))
+	r.daemon.timer.ObserveChange(l.now, len(l.daemons))
 	l.runs = append(l.runs, r)
 	l.waits = append(l.waits, begins.Sub(r.arrived))
 	return true
@@ -221,23 +221,23 @@
 	return begins
 }
 
-func (l *rareLoad) tell() {
+func (l *rareLoad) reportDemand() {
 	for _, d := range l.daemons {
-		if l.now.Before(d.pace.Due()) {
+		if l.now.Before(d.timer.Due()) {
 			continue
 		}
-		if n := len(d.demand.Active); n > 0 || d.said > 0 {
-			d.said = n
-			said := Demand{Active: map[string]int{}, Running: map[Place]int{}}
+		if n := len(d.demand.Active); n > 0 || d.lastActive > 0 {
+			d.lastActive = n
+			report := Demand{Active: map[string]int{}, Running: map[Place]int{}}
 			for k, v := range d.demand.Active {
-				said.Active[k] = v
+				report.Active[k] = v
 			}
 			for k, v := range d.demand.Running {
-				said.Running[k] = v
+				report.Running[k] = v
 			}
-			l.p.ReceiveDemand(l.now, d.name, said)
+			l.p.ReceiveDemand(l.now, d.name, report)
 		}
-		d.pace.ObserveSent(l.now, len(l.daemons))
+		d.timer.ObserveSent(l.now, len(l.daemons))
 	}
 }
 
@@ -252,8 +252,8 @@
 			n++
 		}
 	}
-	all := float64(len(l.waits) + l.left)
-	return float64(n) / all, float64(len(l.waits)-n) / all, float64(l.left) / all, sum / time.Duration(max(1, len(l.waits)))
+	all := float64(len(l.waits) + l.gaveUp)
+	return float64(n) / all, float64(len(l.waits)-n) / all, float64(l.gaveUp) / all, sum / time.Duration(max(1, len(l.waits)))
 }
 
 // Load: rare models occupy nearly all room, each for one request and the swap before it.
@@ -267,9 +267,9 @@
 	for seed := range uint64(seeds) {
 		l := newRareLoad(52, 313, 2, 195, 0.33, seed)
 		l.rate = 38.8
-		l.play(12 * time.Second)
+		l.simulate(12 * time.Second)
 		a, b, c, mean := l.outcome()
-		t.Logf("%.3f in time, %.3f late, %.3f left, mean wait %v, %d orders, %d refused, %d requests", a, b, c, mean, l.orders, l.refused, l.askedFor)
+		t.Logf("%.3f in time, %.3f late, %.3f left, mean wait %v, %d orders, %d refused, %d requests", a, b, c, mean, l.orders, l.refused, l.arrived)
 		inTime, late, left = inTime+a/seeds, late+b/seeds, left+c/seeds
 	}
 	if inTime < 0.85 {
@@ -284,8 +284,8 @@
 // rejected at once. Without rejections all requests would start late, while the holders
 // process as many of them.
 func TestOverrunHoldersServeInTime(t *testing.T) {
-	for _, refuses := range []bool{false, true} {
-		w := newWorld(6, 6)
+	for _, rejectLate := range []bool{false, true} {
+		w := newSimCluster(6, 6)
 		w.conf.Slots = 12
 		for _, e := range w.engines {
 			e.endpoint.Slots = 12
@@ -293,23 +293,23 @@
 			e.publish()
 		}
 		w.takeOver()
-		l := &rareLoad{world: w, rng: rand.New(rand.NewPCG(3, 3)), models: 1, rate: 54, slotFreeAt: map[string][]time.Time{}, refuses: refuses}
+		l := &rareLoad{simCluster: w, rng: rand.New(rand.NewPCG(3, 3)), models: 1, rate: 54, slotFreeAt: map[string][]time.Time{}, rejectLate: rejectLate}
 		for i := range 195 {
 			d := &rareDaemon{name: fmt.Sprint("d", i), demand: Demand{Active: map[string]int{}, Running: map[Place]int{}}}
-			d.pace.ObserveSent(l.now.Add(time.Duration(l.rng.IntN(650))*time.Millisecond), 195)
+			d.timer.ObserveSent(l.now.Add(time.Duration(l.rng.IntN(650))*time.Millisecond), 195)
 			l.daemons = append(l.daemons, d)
 		}
-		l.play(20 * time.Second)
+		l.simulate(20 * time.Second)
 		prompt := 0
 		for _, wait := range l.waits {
 			if wait <= 400*time.Millisecond {
 				prompt++
 			}
 		}
-		t.Logf("reject late %v: %d started, %d of them within 400 ms, %d rejected, %d left", refuses, len(l.waits), prompt, l.turnedAway, l.left)
-		fits := 20 * 6 * 12 / rareRun.Seconds()
-		if refuses && (float64(len(l.waits)) < 0.92*fits || prompt < len(l.waits)*8/10) {
-			t.Errorf("%d started, %d of them within 400 ms; capacity %.0f", len(l.waits), prompt, fits)
+		t.Logf("reject late %v: %d started, %d of them within 400 ms, %d rejected, %d left", rejectLate, len(l.waits), prompt, l.rejected, l.gaveUp)
+		capacity := 20 * 6 * 12 / rareRun.Seconds()
+		if rejectLate && (float64(len(l.waits)) < 0.92*capacity || prompt < len(l.waits)*8/10) {
+			t.Errorf("%d started, %d of them within 400 ms; capacity %.0f", len(l.waits), prompt, capacity)
 		}
 	}
 }
@@ -321,8 +321,8 @@
 	for _, c := range []struct{ daemons, engines, models int }{{6, 9, 50}, {195, 124, 627}, {375, 600, 1800}} {
 		l := newRareLoad(c.engines, c.models, 2, c.daemons, 0.3, 1)
 		l.rate = 0.6 * float64(c.engines)
-		l.play(3 * time.Second)
-		said := l.daemons[0].demand
+		l.simulate(3 * time.Second)
+		demand := l.daemons[0].demand
 		b.Run(fmt.Sprintf("step/%d daemons", c.daemons), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
@@ -332,14 +332,14 @@
 		b.Run(fmt.Sprintf("report/%d daemons", c.daemons), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				l.p.ReceiveDemand(l.now, l.daemons[0].name, said)
+				l.p.ReceiveDemand(l.now, l.daemons[0].name, demand)
 			}
 		})
 		b.Run(fmt.Sprintf("answer/%d daemons", c.daemons), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
 				l.p.Want(l.now, Want{Model: "hot00", Rank: 1, Daemon: l.daemons[0].name})
-				l.p.forgetSent(l.now.Add(time.Second), l.daemons[0].name)
+				l.p.pruneSent(l.now.Add(time.Second), l.daemons[0].name)
 			}
 		})
 	}
--- a/coordination/residency/ready.go
+++ b/coordination/residency/ready.go
@@ -12,11 +12,11 @@
 	if p.conf.Engine == nil {
 		return r
 	}
-	for _, w := range p.sorted {
-		p.passTime(now, w)
-		if p.lease.Held && !w.asking && !w.probe.IsZero() && !now.Before(w.probe) {
-			w.asking = true
-			r.Probes = append(r.Probes, w.life)
+	for _, e := range p.sorted {
+		p.advance(now, e)
+		if p.lease.Held && !e.probing && !e.probeAt.IsZero() && !now.Before(e.probeAt) {
+			e.probing = true
+			r.Probes = append(r.Probes, e.incarnation)
 		}
 	}
 	p.watchStore(now)
@@ -26,132 +26,132 @@
 	d := p.newDraft(now)
 	p.wantReplicas(d)
 	p.schedule(d)
-	for _, w := range p.sorted {
-		if o, ok := p.adapterNext(now, w); ok {
+	for _, e := range p.sorted {
+		if o, ok := p.nextAdapterOrder(now, e); ok {
 			r.Orders = append(r.Orders, o)
 		}
 	}
-	for _, s := range p.slots {
-		if o, ok := p.modelNext(d, s); ok {
+	for _, s := range p.loads {
+		if o, ok := p.nextModelOrder(d, s); ok {
 			r.Orders = append(r.Orders, o)
 		}
 	}
-	r.Orders = append(r.Orders, p.copies(d)...)
-	p.slots = nil
+	r.Orders = append(r.Orders, p.copyMissing(d)...)
+	p.loads = nil
 	return r
 }
 
 // free reports whether an order may be sent to an engine now.
-func (p *Planner) free(now time.Time, w *worker) bool {
-	return w.order == nil && w.known && w.usable() && !now.Before(w.notTo)
+func (p *Planner) free(now time.Time, e *engineState) bool {
+	return e.order == nil && e.synced && e.usable() && !now.Before(e.noOrderBefore)
 }
 
 // advance completes loads from nearby copies when their declared time has passed. Loads
 // from the store take longer beside others, so they are complete only when the engine
 // reports it.
-func (p *Planner) passTime(now time.Time, w *worker) {
-	w.forgetLate(now)
-	w.unknownLate = p.mayHaveUnknownLate(now, w)
-	o := w.order
-	if o == nil || !o.answered || o.order.Unload || o.order.Adapter != "" || now.Before(o.endsAt.Add(orderMargin)) {
+func (p *Planner) advance(now time.Time, e *engineState) {
+	e.pruneLate(now)
+	e.unknownLateOrder = p.mayHaveUnknownLate(now, e)
+	o := e.order
+	if o == nil || !o.accepted || o.order.Unload || o.order.Adapter != "" || now.Before(o.endsAt.Add(orderMargin)) {
 		return
 	}
 	if o.order.Level != Store {
-		p.endOrder(now, w)
-		w.probe = now.Add(reportLag)
+		p.completeOrder(now, e)
+		e.probeAt = now.Add(reportLag)
 		return
 	}
-	if r := w.models[o.order.Model]; r != nil && !r.readyAt.After(now) && !r.confirmed {
+	if r := e.models[o.order.Model]; r != nil && !r.readyAt.After(now) && !r.confirmed {
 		r.readyAt = now.Add(reportLag)
 	}
-	if w.probe.IsZero() {
-		w.probe = now
+	if e.probeAt.IsZero() {
+		e.probeAt = now
 	}
 }
 
 // nextAdapterOrder returns the order for the next adapter that a request waits for.
-func (p *Planner) adapterNext(now time.Time, w *worker) (Order, bool) {
-	for len(w.adapters) > 0 && p.free(now, w) {
-		a := w.adapters[0]
-		r := w.models[a.model]
+func (p *Planner) nextAdapterOrder(now time.Time, e *engineState) (Order, bool) {
+	for len(e.adapterQueue) > 0 && p.free(now, e) {
+		a := e.adapterQueue[0]
+		r := e.models[a.model]
 		if r == nil || r.adapters[a.adapter] != nil {
-			w.adapters = w.adapters[1:] // the model was removed, or the adapter is loaded already
+			e.adapterQueue = e.adapterQueue[1:] // the model was removed, or the adapter is loaded already
 			continue
 		}
-		return p.adapterOrder(now, w, a)
+		return p.adapterOrder(now, e, a)
 	}
 	return Order{}, false
 }
 
 // nextModelOrder returns the next order towards loading a wanted model if its engine is
 // free: an unload that makes room, or the load itself.
-func (p *Planner) modelNext(d *draft, s slot) (Order, bool) {
-	if !p.free(d.now, s.w) {
+func (p *Planner) nextModelOrder(d *draft, s scheduledLoad) (Order, bool) {
+	if !p.free(d.now, s.engine) {
 		return Order{}, false
 	}
 	if s.level == Store && !p.mayLoadFromStore(d.now) {
 		return Order{}, false
 	}
-	o, ok := p.modelOrder(d, s.w, s.model, !s.extra)
+	o, ok := p.modelOrder(d, s.engine, s.model, !s.extra)
 	if ok && !o.Unload && !s.extra {
-		s.w.order.askedAt = p.wants[s.model].asked
+		s.engine.order.requestedAt = p.wants[s.model].requestedAt
 	}
 	return o, ok
 }
 
 // modelOrder returns the order to unload a victim if the engine has no room for a model, or
 // else the order to load the model.
-func (p *Planner) modelOrder(d *draft, w *worker, model string, urgent bool) (Order, bool) {
+func (p *Planner) modelOrder(d *draft, e *engineState, model string, urgent bool) (Order, bool) {
 	now := d.now
-	if p.memory(w)+p.conf.Engine.Models[model].SizeMB > p.conf.Engine.MemoryMB {
-		victims := p.victimsOf(d, w)
+	if p.memory(e)+p.conf.Engine.Models[model].SizeMB > p.conf.Engine.MemoryMB {
+		victims := p.victimsOf(d, e)
 		if len(victims) == 0 || victims[0].wait > 0 {
 			return Order{}, false
 		}
 		// Prevents the unload of another replica of the same model in this step.
 		d.replicas[victims[0].name]--
-		for _, e := range d.engines {
-			e.derived = false
+		for _, ed := range d.engines {
+			ed.victimsKnown = false
 		}
-		return p.send(now, w, Order{Unload: true, Model: victims[0].name}, Resident), true
+		return p.send(now, e, Order{Unload: true, Model: victims[0].name}, Resident), true
 	}
-	o := p.send(now, w, Order{Model: model}, w.level(model))
-	r := &replica{adapters: map[string]*adapter{}, readyAt: w.order.endsAt.Add(orderMargin), lastUse: now, lastNamed: now, keepUntil: w.order.endsAt}
+	o := p.send(now, e, Order{Model: model}, e.level(model))
+	r := &replica{adapters: map[string]*adapter{}, readyAt: e.order.endsAt.Add(orderMargin), lastUse: now, lastAnswered: now, keepUntil: e.order.endsAt}
 	if urgent {
-		r.keepUntil = now.Add(keepFor(w.order.endsAt.Sub(now)))
+		r.keepUntil = now.Add(keepFor(e.order.endsAt.Sub(now)))
 	}
-	w.models[model] = r
+	e.models[model] = r
 	return o, true
 }
 
 // mayLoadFromStore reports whether the concurrency and rate limits of the store permit
 // another load.
 func (p *Planner) mayLoadFromStore(now time.Time) bool {
-	if p.storeLoads() >= p.places.Estimate {
+	if p.storeLoads() >= p.store.Estimate {
 		return false
 	}
-	p.starts = slices.DeleteFunc(p.starts, func(t time.Time) bool { return now.Sub(t) > p.opt.RateWindow })
+	p.storeStarts = slices.DeleteFunc(p.storeStarts, func(t time.Time) bool { return now.Sub(t) > p.opt.RateWindow })
 	allowed := p.conf.Engine.LoadsPerSecond * p.opt.RateWindow.Seconds() * min(1, p.opt.RateFactor)
-	return p.conf.Engine.LoadsPerSecond <= 0 || float64(len(p.starts)) < allowed
+	return p.conf.Engine.LoadsPerSecond <= 0 || float64(len(p.storeStarts)) < allowed
 }
 
 // adapterOrder returns the order to unload an adapter if the engine has no room for another
 // one, or else the order to load the adapter.
-func (p *Planner) adapterOrder(now time.Time, w *worker, a adapterWant) (Order, bool) {
-	if w.heldAdapters() >= p.conf.Engine.AdapterSlots || p.memory(w)+p.conf.Engine.Models[a.model].AdapterMB > p.conf.Engine.MemoryMB {
-		model, name, ok := oldestAdapter(w, now)
+func (p *Planner) adapterOrder(now time.Time, e *engineState, a adapterWant) (Order, bool) {
+	if e.heldAdapters() >= p.conf.Engine.AdapterSlots || p.memory(e)+p.conf.Engine.Models[a.model].AdapterMB > p.conf.Engine.MemoryMB {
+		model, name, ok := lruAdapter(e, now)
 		if !ok {
-			w.adapters = w.adapters[1:]
+			e.adapterQueue = e.adapterQueue[1:]
 			return Order{}, false
 		}
 		if model == "" {
 			return Order{}, false // an adapter is being unloaded
 		}
-		return p.send(now, w, Order{Unload: true, Model: model, Adapter: name}, Resident), true
+		return p.send(now, e, Order{Unload: true, Model: model, Adapter: name}, Resident), true
 	}
-	w.adapters = w.adapters[1:]
-	w.models[a.model].adapters[a.adapter] = &adapter{readyAt: now.Add(adapterLoad), lastUse: now}
-	return p.send(now, w, Order{Model: a.model, Adapter: a.adapter}, Resident), true
+	e.adapterQueue = e.adapterQueue[1:]
+	e.models[a.model].adapters[a.adapter] = &adapter{readyAt: now.Add(adapterLoad), lastUse: now}
+	return p.send(now, e, Order{Model: a.model, Adapter: a.adapter}, Resident), true
 }
 
 // adapterIdle is how long an adapter must be unused before it may be unloaded.
@@ -159,11 +159,11 @@
 
 // lruAdapter returns the least recently used adapter. If an adapter is being unloaded
 // already, it returns ok and empty names.
-func oldestAdapter(w *worker, now time.Time) (model, name string, ok bool) {
+func lruAdapter(e *engineState, now time.Time) (model, name string, ok bool) {
 	oldest := now.Add(-adapterIdle)
-	for m, r := range w.models {
+	for m, r := range e.models {
 		for a, state := range r.adapters {
-			if state.leaving {
+			if state.unloading {
 				return "", "", true
 			}
 			if state.lastUse.Before(oldest) && state.readyAt.Before(now) {
@@ -174,14 +174,14 @@
 	return model, name, ok
 }
 
-func (p *Planner) send(now time.Time, w *worker, o Order, level Level) Order {
-	o.Endpoint, o.Address = w.life, w.endpoint.Address
-	o.Expect, o.Holder, o.Fence, o.Level = w.sequence, p.opt.Holder, p.lease.Fence, level
+func (p *Planner) send(now time.Time, e *engineState, o Order, level Level) Order {
+	o.Endpoint, o.Address = e.incarnation, e.endpoint.Address
+	o.Expect, o.Holder, o.Fence, o.Level = e.sequence, p.opt.Holder, p.lease.Fence, level
 	end := now
 	if !o.Unload && o.Adapter == "" {
 		end = now.Add(p.loadTime(level, o.Model, p.storeLoads()))
 	}
-	w.order = &pending{order: o, endsAt: end}
+	e.order = &pendingOrder{order: o, endsAt: end}
 	return o
 }
 
@@ -199,9 +199,9 @@
 			continue
 		}
 		if p.wants[model] == nil {
-			p.wants[model] = &wanted{extra: true}
+			p.wants[model] = &wantedModel{extra: true}
 		}
-		p.wants[model].asked = d.now
+		p.wants[model].requestedAt = d.now
 	}
 }
 
@@ -210,14 +210,14 @@
 // load is left for requested models. Otherwise a store with a low concurrency would have
 // none to spare for the seconds of a load, and the replica of a model that demand has
 // shifted to would be delayed by as much.
-func (p *Planner) copies(d *draft) []Order {
-	const keptPlaces = 1
+func (p *Planner) copyMissing(d *draft) []Order {
+	const reserved = 1
 	now := d.now
-	if now.Sub(p.grownAt) < settleFor || now.Before(p.copiesAt) {
+	if now.Sub(p.engineAddedAt) < settleTime || now.Before(p.nextCopiesAt) {
 		return nil
 	}
-	free := p.places.Estimate - keptPlaces - p.storeLoads()
-	for _, s := range p.slots {
+	free := p.store.Estimate - reserved - p.storeLoads()
+	for _, s := range p.loads {
 		if s.level == Store {
 			free--
 		}
@@ -225,17 +225,17 @@
 	if free <= 0 {
 		return nil
 	}
-	p.copiesAt = now.Add(copiesEvery)
+	p.nextCopiesAt = now.Add(copyInterval)
 	var orders []Order
-	for _, model := range p.missing(now) {
+	for _, model := range p.missingModels(now) {
 		if free <= 0 {
 			break
 		}
-		w := p.quietEngine(d, model)
-		if w == nil || !p.mayLoadFromStore(now) {
+		e := p.leastUsedEngine(d, model)
+		if e == nil || !p.mayLoadFromStore(now) {
 			break
 		}
-		if o, ok := p.modelOrder(d, w, model, false); ok {
+		if o, ok := p.modelOrder(d, e, model, false); ok {
 			orders = append(orders, o)
 			free--
 		}
@@ -245,16 +245,16 @@
 
 // missingModels returns the models without a copy at any usable engine, the most valuable
 // first.
-func (p *Planner) missing(now time.Time) []string {
-	near := map[string]bool{}
-	for _, w := range p.sorted {
-		if w.usable() {
-			w.near(near)
+func (p *Planner) missingModels(now time.Time) []string {
+	nearby := map[string]bool{}
+	for _, e := range p.sorted {
+		if e.usable() {
+			e.addCopies(nearby)
 		}
 	}
 	var list []string
 	for name := range p.conf.Engine.Models {
-		if !near[name] && p.wants[name] == nil {
+		if !nearby[name] && p.wants[name] == nil {
 			list = append(list, name)
 		}
 	}
@@ -265,14 +265,14 @@
 }
 
 // addCopies adds the models of which an engine has a copy to set.
-func (w *worker) near(set map[string]bool) {
-	for name := range w.models {
+func (e *engineState) addCopies(set map[string]bool) {
+	for name := range e.models {
 		set[name] = true
 	}
-	for name := range w.inMemory {
+	for name := range e.inMemory {
 		set[name] = true
 	}
-	for name := range w.onDisk {
+	for name := range e.onDisk {
 		set[name] = true
 	}
 }
@@ -280,38 +280,38 @@
 // leastUsedEngine returns the engine whose occupation by a load from the store costs least.
 // It has nothing scheduled, and the fewest models that are in use there or that only it has
 // a copy of.
-func (p *Planner) quietEngine(d *draft, model string) *worker {
-	var best *worker
+func (p *Planner) leastUsedEngine(d *draft, model string) *engineState {
+	var best *engineState
 	bestOnly := 0
-	for _, w := range p.sorted {
-		if !p.free(d.now, w) || p.scheduled(w) {
+	for _, e := range p.sorted {
+		if !p.free(d.now, e) || p.scheduled(e) {
 			continue
 		}
-		if r, ok := p.roomFor(d, w, model); !ok || r.wait > 0 {
+		if r, ok := p.roomFor(d, e, model); !ok || r.wait > 0 {
 			continue
 		}
-		if only := p.onlyHere(w) + d.engines[w].inUse; best == nil || only < bestOnly {
-			best, bestOnly = w, only
+		if only := p.onlyCopies(e) + d.engines[e].inUse; best == nil || only < bestOnly {
+			best, bestOnly = e, only
 		}
 	}
 	return best
 }
 
 // scheduled reports whether the schedule has a load at an engine.
-func (p *Planner) scheduled(w *worker) bool {
-	return slices.ContainsFunc(p.slots, func(s slot) bool { return s.w == w })
+func (p *Planner) scheduled(e *engineState) bool {
+	return slices.ContainsFunc(p.loads, func(s scheduledLoad) bool { return s.engine == e })
 }
 
 // onlyCopies counts the models that are not loaded and whose only copy is at the engine.
-func (p *Planner) onlyHere(w *worker) int {
+func (p *Planner) onlyCopies(e *engineState) int {
 	n := 0
-	for name := range w.onDisk {
-		if w.models[name] != nil {
+	for name := range e.onDisk {
+		if e.models[name] != nil {
 			continue
 		}
 		elsewhere := false
-		for _, other := range p.workers {
-			if other != w && other.usable() && other.level(name) != Store {
+		for _, other := range p.engines {
+			if other != e && other.usable() && other.level(name) != Store {
 				elsewhere = true
 				break
 			}
--- a/coordination/residency/schedule.go
+++ b/coordination/residency/schedule.go
@@ -7,10 +7,10 @@
 )
 
 // scheduledLoad is the planned load of a wanted model.
-type slot struct {
+type scheduledLoad struct {
 	model   string
 	extra   bool
-	w       *worker
+	engine  *engineState
 	level   Level
 	readyIn time.Duration
 }
@@ -19,11 +19,11 @@
 // to the engine that can have it ready soonest. A model is bound to an engine only when its
 // order is sent, so a faster option that appears before then is used.
 func (p *Planner) schedule(d *draft) {
-	p.slots, p.slotsAt = p.slots[:0], d.now
+	p.loads, p.scheduledAt = p.loads[:0], d.now
 	for _, model := range p.wantedModels(d) {
-		if s, ok := p.place(d, model); ok {
+		if s, ok := p.placeModel(d, model); ok {
 			s.extra = p.wants[model].extra
-			p.slots = append(p.slots, s)
+			p.loads = append(p.loads, s)
 		}
 	}
 }
@@ -36,7 +36,7 @@
 	for model, w := range p.wants {
 		_, declared := p.conf.Engine.Models[model]
 		held := !w.extra && d.replicas[model] > 0
-		if !declared || held || now.Sub(w.asked) > wantLife {
+		if !declared || held || now.Sub(w.requestedAt) > wantTTL {
 			delete(p.wants, model)
 			continue
 		}
@@ -45,7 +45,7 @@
 	slices.SortFunc(list, func(a, b string) int {
 		return cmp.Or(cmp.Compare(p.weight(d, b), p.weight(d, a)), cmp.Compare(a, b))
 	})
-	return list[:min(len(list), scheduleMost)]
+	return list[:min(len(list), maxScheduled)]
 }
 
 // weight returns the value of loading a wanted model. The value of one more replica of a
@@ -63,44 +63,44 @@
 // placeModel chooses the engine that has the model ready first. Engines without a copy need
 // at least the time of a load from the store, so they are considered only if all others
 // take longer.
-func (p *Planner) place(d *draft, model string) (slot, bool) {
-	best, cost := p.soonest(d, model, slot{}, 0, func(l Level) bool { return l != Store })
-	if best.w == nil || cost >= p.conf.Engine.Models[model].LoadFromStore {
+func (p *Planner) placeModel(d *draft, model string) (scheduledLoad, bool) {
+	best, cost := p.soonest(d, model, scheduledLoad{}, 0, func(l Level) bool { return l != Store })
+	if best.engine == nil || cost >= p.conf.Engine.Models[model].LoadFromStore {
 		best, _ = p.soonest(d, model, best, cost, func(l Level) bool { return l == Store })
 	}
-	if best.w == nil {
+	if best.engine == nil {
 		return best, false
 	}
-	e := d.engines[best.w]
-	e.freeIn = best.readyIn
-	e.reserved += p.conf.Engine.Models[model].SizeMB
+	ed := d.engines[best.engine]
+	ed.freeIn = best.readyIn
+	ed.reserved += p.conf.Engine.Models[model].SizeMB
 	if best.level == Store {
-		d.store[0] = best.readyIn
-		slices.Sort(d.store)
+		d.storeFreeIn[0] = best.readyIn
+		slices.Sort(d.storeFreeIn)
 	}
 	return best, true
 }
 
 // soonest returns the load of least cost at the engines whose copy of the model has a level
 // that match accepts, or best if none costs less.
-func (p *Planner) soonest(d *draft, model string, best slot, bestCost time.Duration, asked func(Level) bool) (slot, time.Duration) {
-	for _, w := range p.sorted {
-		if !w.usable() || !w.known || w.models[model] != nil || !asked(w.level(model)) {
+func (p *Planner) soonest(d *draft, model string, best scheduledLoad, bestCost time.Duration, match func(Level) bool) (scheduledLoad, time.Duration) {
+	for _, e := range p.sorted {
+		if !e.usable() || !e.synced || e.models[model] != nil || !match(e.level(model)) {
 			continue
 		}
-		r, ok := p.roomFor(d, w, model)
+		r, ok := p.roomFor(d, e, model)
 		if !ok {
 			continue
 		}
-		penalty := r.cost + p.loadCost(w)
-		s := slot{model: model, w: w, level: w.level(model)}
-		startIn := max(d.engines[w].freeIn, r.wait)
+		penalty := r.cost + p.loadCost(e)
+		s := scheduledLoad{model: model, engine: e, level: e.level(model)}
+		startIn := max(d.engines[e].freeIn, r.wait)
 		if s.level == Store {
-			startIn = max(startIn, d.store[0])
-			penalty += time.Duration(d.engines[w].inUse) * activeCost
+			startIn = max(startIn, d.storeFreeIn[0])
+			penalty += time.Duration(d.engines[e].inUse) * activeCost
 		}
 		s.readyIn = startIn + p.loadTime(s.level, model, d.storeLoads) + orderMargin
-		if cost := s.readyIn + penalty; best.w == nil || cost < bestCost {
+		if cost := s.readyIn + penalty; best.engine == nil || cost < bestCost {
 			best, bestCost = s, cost
 		}
 	}
--- a/coordination/residency/storeplaces_test.go
+++ b/coordination/residency/storeconcurrency_test.go
@@ -8,7 +8,7 @@
 
 // shareStore slows down loads from the store when more than the given number are in
 // progress, as the platform's store does.
-func (w *world) shareStore(places int) {
+func (w *simCluster) shareStore(concurrency int) {
 	w.beforeStep = func(step time.Duration) {
 		n := 0
 		for _, e := range w.engines {
@@ -17,8 +17,8 @@
 			}
 		}
 		for _, e := range w.engines {
-			if e.fromStore && n > places {
-				e.doneAt = e.doneAt.Add(time.Duration(float64(step) * (1 - float64(places)/float64(n))))
+			if e.fromStore && n > concurrency {
+				e.doneAt = e.doneAt.Add(time.Duration(float64(step) * (1 - float64(concurrency)/float64(n))))
 			}
 		}
 	}
@@ -27,14 +27,14 @@
 // The planner learns how many loads the weight store serves at once from their duration,
 // starting from the same estimate.
 func TestPlacesOfTheStoreAreLearned(t *testing.T) {
-	for _, places := range []int{1, 2, 4, 9} {
-		w := newWorld(0, 24)
+	for _, concurrency := range []int{1, 2, 4, 9} {
+		w := newSimCluster(0, 24)
 		w.conf.Models, w.conf.LoadsPerSecond = testEngine(400).Models, 100
 		w.p = New(Options{Holder: "h", InitialStoreConcurrency: 2, RateWindow: 5 * time.Second, RateFactor: 1.1})
 		w.p.Configure(Config{Service: "s", Engine: w.conf})
 		w.p.SetLease(w.now, Lease{Held: true, Fence: 1, First: true, OrdersFrom: w.now})
 		w.entries()
-		w.shareStore(places)
+		w.shareStore(concurrency)
 		next := 0
 		for range 70 {
 			for range 4 {
@@ -43,8 +43,8 @@
 			}
 			w.run(time.Second)
 		}
-		if got := w.p.StoreConcurrency().Estimate; got < places || got > places+1 {
-			t.Errorf("store concurrency %d: learned %d", places, got)
+		if got := w.p.StoreConcurrency().Estimate; got < concurrency || got > concurrency+1 {
+			t.Errorf("store concurrency %d: learned %d", concurrency, got)
 		}
 	}
 }
--- a/coordination/residency/types.go
+++ b/coordination/residency/types.go
@@ -182,20 +182,20 @@
 	replicaShare = 0.625
 	// secondReplicaFrom is the number of running requests from which a model gets a second
 	// replica, so that no load is needed when one engine fails.
-	severalFrom = 8
+	secondReplicaFrom = 8
 	// idleMargin is added to the interval at which daemons report running requests before a
 	// model that was returned in an answer counts as idle. It covers the way of the request
 	// to the endpoint and of the report to the coordinator.
 	idleMargin = 160 * time.Millisecond
 	// keepForWaiting is how long a model stays loaded after it is ready for a waiting
 	// request.
-	keepWaiting = 400 * time.Millisecond
+	keepForWaiting = 400 * time.Millisecond
 	// keepForReturning is the same for a caller that was refused with a retry delay.
 	// Callers that would have to wait longer than returnThreshold are refused.
-	keepReturning = 1200 * time.Millisecond
-	returnsAfter  = 1500 * time.Millisecond
+	keepForReturning = 1200 * time.Millisecond
+	returnThreshold  = 1500 * time.Millisecond
 	// demandTTL is how long a daemon's demand report is valid.
-	demandLife = 3 * time.Second
+	demandTTL = 3 * time.Second
 	// adapterLoad estimates the load time of an adapter. The desired state does not declare
 	// it; engines take between a few and some tens of milliseconds.
 	adapterLoad = 20 * time.Millisecond
@@ -205,11 +205,11 @@
 	reportLag = 250 * time.Millisecond
 	// maxMissedReports is the number of consecutive missing reports after which an engine
 	// counts as down.
-	silentReports = 2
+	maxMissedReports = 2
 	// maxProbeDelay and maxProbeDoublings limit the growing delay between probes that are
 	// not answered.
-	probeMost      = 2 * time.Second
-	probeDoublings = 3
+	maxProbeDelay     = 2 * time.Second
+	maxProbeDoublings = 3
 	// activeCost is the cost, for each model in use at an engine, of a load from the store
 	// there: the engine takes no adapters for these models while it loads.
 	activeCost = 400 * time.Millisecond
@@ -219,7 +219,7 @@
 	avoidedCost  = time.Hour
 	avoidedPause = 250 * time.Millisecond
 	// busyRetryDelay is the delay after an order that found the engine busy.
-	retryBusy = 80 * time.Millisecond
+	busyRetryDelay = 80 * time.Millisecond
 	// valueHalfLife is the half-life of the weight of past requests for a model. It spans
 	// several loads from the store.
 	valueHalfLife = 8 * time.Second
@@ -230,33 +230,33 @@
 	ranks = 4
 	// maxBusyMultiple limits the delay after consecutive orders that found the engine busy,
 	// as a multiple of busyRetryDelay.
-	busyDoublings = 4
+	maxBusyMultiple = 4
 	// maxBusyEstimate limits the estimate of how long an engine that refuses orders stays
 	// busy, as a multiple of busyRetryDelay.
-	refusedMost = 12
+	maxBusyEstimate = 12
 	// wantTTL is how long a model remains wanted after the last request for it. Callers
 	// that were refused retry within this time.
-	wantLife = 9 * time.Second
+	wantTTL = 9 * time.Second
 	// maxScheduled limits the number of models in a schedule.
-	scheduleMost = 64
+	maxScheduled = 64
 	// scheduleTTL is how long a schedule may be used to answer requests.
-	scheduleLife = 20 * time.Millisecond
+	scheduleTTL = 20 * time.Millisecond
 	// busyWeight is the weight that each running request of a busy model adds to the value
 	// of one more replica. It equals the weight of a request of the second rank.
 	busyWeight = 64
 	// unansweredRetryDelay is the delay after an order that was not answered.
-	retryUnanswered = 100 * time.Millisecond
+	unansweredRetryDelay = 100 * time.Millisecond
 	// settleTime is how long no new engine must have appeared before copies of models
 	// without requests are fetched from the store. Engines register within some heartbeats
 	// of their start, and a new one may hold a copy of the model.
-	settleFor = 1500 * time.Millisecond
+	settleTime = 1500 * time.Millisecond
 	// copyInterval is the interval between two searches for models without a nearby copy. A
 	// search goes over all copies, and a load takes seconds.
-	copiesEvery = 250 * time.Millisecond
+	copyInterval = 250 * time.Millisecond
 	// lateOrderTTL is how long after it was sent an unanswered order may still be carried
 	// out.
-	lateOrderLife = 15 * time.Second
+	lateOrderTTL = 15 * time.Second
 	// loadTimeout is how long after its expected end a load is given up if no report
 	// confirms it.
-	loadOverdue = 4 * time.Second
+	loadTimeout = 4 * time.Second
 )
--- a/coordination/residency/value.go
+++ b/coordination/residency/value.go
@@ -12,7 +12,7 @@
 }
 
 // addValue adds the weight of a request to the value of its model.
-func (p *Planner) wanted(now time.Time, want Want) {
+func (p *Planner) addValue(now time.Time, want Want) {
 	v := p.values[want.Model]
 	if v == nil {
 		v = &value{at: now}
--- a/coordination/residency/victims.go
+++ b/coordination/residency/victims.go
@@ -14,14 +14,14 @@
 
 // roomFor returns how to make room for a model in addition to the memory reserved for
 // scheduled loads. It returns false if there will be no room soon.
-func (p *Planner) roomFor(d *draft, w *worker, model string) (room, bool) {
-	e := d.engines[w]
-	need := e.memory + e.reserved + p.conf.Engine.Models[model].SizeMB
+func (p *Planner) roomFor(d *draft, e *engineState, model string) (room, bool) {
+	ed := d.engines[e]
+	need := ed.memory + ed.reserved + p.conf.Engine.Models[model].SizeMB
 	var r room
 	if need <= p.conf.Engine.MemoryMB {
 		return r, true
 	}
-	for _, v := range p.victimsOf(d, w) {
+	for _, v := range p.victimsOf(d, e) {
 		need -= p.conf.Engine.Models[v.name].SizeMB
 		r.cost += v.cost
 		r.wait = max(r.wait, v.wait)
@@ -41,59 +41,59 @@
 
 // victimsOf returns the models of an engine that may be unloaded, the cheapest first:
 // replicas beyond the number needed, then the least recently used models.
-func (p *Planner) victimsOf(d *draft, w *worker) []victim {
-	e := d.engines[w]
-	if e.derived {
-		return e.victims
+func (p *Planner) victimsOf(d *draft, e *engineState) []victim {
+	ed := d.engines[e]
+	if ed.victimsKnown {
+		return ed.victims
 	}
 	var list []victim
-	for name, r := range w.models {
-		if v, ok := p.victim(d, w, name, r); ok {
+	for name, r := range e.models {
+		if v, ok := p.victim(d, e, name, r); ok {
 			list = append(list, v)
 		}
 	}
 	slices.SortFunc(list, func(a, b victim) int {
 		return cmp.Or(cmp.Compare(a.wait, b.wait), cmp.Compare(a.cost, b.cost), cmp.Compare(a.name, b.name))
 	})
-	e.victims, e.derived = list, true
+	ed.victims, ed.victimsKnown = list, true
 	return list
 }
 
 const (
 	// maxIdleCost is the maximum cost of an idle model as a victim. It is low, so that the
 	// time until the load comes first.
-	idleCost = 100 * time.Millisecond
+	maxIdleCost = 100 * time.Millisecond
 	// maxIdleDiscount limits the reduction of that cost, which is a thousandth of the idle
 	// time.
-	idleGain = 90 * time.Millisecond
+	maxIdleDiscount = 90 * time.Millisecond
 )
 
 // victim returns what the unload of a model takes, or false if the model must stay. A model
 // that only a few requests use stays until they have ended: its unload would wait for them
 // and block all other orders to the engine.
-func (p *Planner) victim(d *draft, w *worker, name string, r *replica) (victim, bool) {
-	if w.order != nil && w.order.order.Model == name && w.order.order.Unload {
+func (p *Planner) victim(d *draft, e *engineState, name string, r *replica) (victim, bool) {
+	if e.order != nil && e.order.order.Model == name && e.order.order.Unload {
 		return victim{}, false
 	}
-	v := victim{name: name, wait: p.usedFor(d, w, name, r)}
+	v := victim{name: name, wait: p.inUseFor(d, e, name, r)}
 	idle := d.now.Sub(r.lastUse)
 	switch {
 	case d.replicas[name] > max(1, d.needed(name)):
 		return v, v.wait == 0 // only if unused: a replica in use keeps receiving requests
 	case d.active[name] == 0:
-		v.cost = idleCost - max(0, min(idleGain, idle/1000))
+		v.cost = maxIdleCost - max(0, min(maxIdleDiscount, idle/1000))
 		return v, true
-	case d.active[name] < severalFrom && d.pressed[name] == 0:
-		v.cost = idleCost
+	case d.active[name] < secondReplicaFrom && d.pressureReplicas[name] == 0:
+		v.cost = maxIdleCost
 		return v, true
 	}
 	return victim{}, false
 }
 
 // inUseFor estimates how long a model will still be used at an engine.
-func (p *Planner) usedFor(d *draft, w *worker, name string, r *replica) time.Duration {
-	t := max(0, r.keepUntil.Sub(d.now), r.readyAt.Sub(d.now), p.idleAfter()-d.now.Sub(r.lastNamed), endedAfter-d.now.Sub(r.lastUse))
-	if d.active[name] > 0 || d.running[Place{w.life, name}] > 0 {
+func (p *Planner) inUseFor(d *draft, e *engineState, name string, r *replica) time.Duration {
+	t := max(0, r.keepUntil.Sub(d.now), r.readyAt.Sub(d.now), p.idleAfterAnswer()-d.now.Sub(r.lastAnswered), idleAfterRun-d.now.Sub(r.lastUse))
+	if d.active[name] > 0 || d.running[Place{e.incarnation, name}] > 0 {
 		t = max(0, r.readyAt.Sub(d.now)) + max(d.runTime, t)
 	}
 	return t
--- a/coordination/retry/retry.go
+++ b/coordination/retry/retry.go
@@ -6,9 +6,9 @@
 // Budget limits retries to a share of the requests, so that a failing endpoint is not
 // flooded with them. It is safe for concurrent use.
 type Budget struct {
-	credit  atomic.Int64 // in thousandths of a retry
-	earn    int64        // credit earned by each request
-	mostNow atomic.Int64 // upper bound of credit
+	credit    atomic.Int64 // in thousandths of a retry
+	earned    int64        // credit earned by each request
+	maxCredit atomic.Int64 // upper bound of credit
 }
 
 const (
@@ -28,14 +28,14 @@
 func NewBudgetOf(ratio, burst float64) *Budget {
 	b := NewEarnedBudget(ratio)
 	b.SetBurst(burst)
-	b.credit.Store(b.mostNow.Load())
+	b.credit.Store(b.maxCredit.Load())
 	return b
 }
 
 // NewEarnedBudget returns a budget with a single saved retry, so that restarted daemons do
 // not each start with a whole burst of retries. It earns no more until SetBurst is called.
 func NewEarnedBudget(ratio float64) *Budget {
-	b := &Budget{earn: int64(ratio * perRetry)}
+	b := &Budget{earned: int64(ratio * perRetry)}
 	b.credit.Store(perRetry)
 	return b
 }
@@ -43,18 +43,18 @@
 // SetBurst changes the maximum number of saved retries, for instance when the number of
 // daemons that share a limit changes.
 func (b *Budget) SetBurst(burst float64) {
-	most := int64(burst * perRetry)
-	b.mostNow.Store(most)
-	if v := b.credit.Load(); v > most {
-		b.credit.CompareAndSwap(v, most)
+	limit := int64(burst * perRetry)
+	b.maxCredit.Store(limit)
+	if v := b.credit.Load(); v > limit {
+		b.credit.CompareAndSwap(v, limit)
 	}
 }
 
 // Earn adds the credit of one request.
 func (b *Budget) Earn() {
-	most := b.mostNow.Load()
-	if v := b.credit.Load(); v < most {
-		b.credit.CompareAndSwap(v, min(v+b.earn, most))
+	limit := b.maxCredit.Load()
+	if v := b.credit.Load(); v < limit {
+		b.credit.CompareAndSwap(v, min(v+b.earned, limit))
 	}
 }
 
--- a/coordination/waiting/queue.go
+++ b/coordination/waiting/queue.go
@@ -21,8 +21,8 @@
 // when the requests ahead of it have started. It has not run yet, and more engines may hold
 // its model by then.
 func Join(in QueueInput) Decision {
-	if in.StartsIn <= 0 || in.Elapsed+in.StartsIn+firstEvent <= in.Target {
+	if in.StartsIn <= 0 || in.Elapsed+in.StartsIn+firstEventTime <= in.Target {
 		return Decision{Wait: true}
 	}
-	return Decision{RetryAfter: max(protocol.MinRetryAfter, min(in.StartsIn, in.TimeLeft/honouredPart))}
+	return Decision{RetryAfter: max(protocol.MinRetryAfter, min(in.StartsIn, in.TimeLeft/retryDivisor))}
 }
--- a/coordination/waiting/queue_test.go
+++ b/coordination/waiting/queue_test.go
@@ -10,10 +10,10 @@
 func TestJoin(t *testing.T) {
 	const ms = time.Millisecond
 	for _, c := range []struct {
-		what           string
-		starts, past   time.Duration
-		join           bool
-		comeBackWithin time.Duration
+		name          string
+		starts, past  time.Duration
+		join          bool
+		maxRetryAfter time.Duration
 	}{
 		{"a slot is free", 0, 0, true, 0},
 		{"a slot is free, request already late", 0, time.Second, true, 0},
@@ -24,10 +24,10 @@
 	} {
 		d := Join(QueueInput{StartsIn: c.starts, Elapsed: c.past, TimeLeft: 12 * time.Second, Target: 400 * ms})
 		if d.Wait != c.join {
-			t.Errorf("%s: Wait = %v", c.what, d.Wait)
+			t.Errorf("%s: Wait = %v", c.name, d.Wait)
 		}
-		if !d.Wait && (d.RetryAfter < protocol.MinRetryAfter || d.RetryAfter > c.comeBackWithin) {
-			t.Errorf("%s: RetryAfter = %v, want at most %v", c.what, d.RetryAfter, c.comeBackWithin)
+		if !d.Wait && (d.RetryAfter < protocol.MinRetryAfter || d.RetryAfter > c.maxRetryAfter) {
+			t.Errorf("%s: RetryAfter = %v, want at most %v", c.name, d.RetryAfter, c.maxRetryAfter)
 		}
 	}
 }
--- a/coordination/waiting/waiting.go
+++ b/coordination/waiting/waiting.go
@@ -34,10 +34,10 @@
 const (
 	// firstEventTime is the time that an endpoint takes until the first event, with room
 	// for a long prompt and a full batch.
-	firstEvent = 250 * time.Millisecond
+	firstEventTime = 250 * time.Millisecond
 	// retryDivisor determines the longest retry delay that callers respect: the time left
 	// divided by it.
-	honouredPart = 3
+	retryDivisor = 3
 	// returnMargin is added to the retry delay, so that the model is ready when the caller
 	// retries.
 	returnMargin = 200 * time.Millisecond
@@ -51,15 +51,15 @@
 // attempt, so a refusal gains nothing if waiting would succeed, and a wait that fails costs
 // the caller more the longer it lasts.
 func Decide(in Input) Decision {
-	need := in.ReadyIn + firstEvent
+	need := in.ReadyIn + firstEventTime
 	if in.Started {
 		return Decision{Wait: in.lasts(need), RetryAfter: protocol.MinRetryAfter}
 	}
 	if in.Elapsed+need <= in.Target && in.lasts(need) || !in.WaitedBefore && in.lasts(need+in.Margin) {
 		return Decision{Wait: true}
 	}
-	back := min(in.ReadyIn+returnMargin, in.TimeLeft/honouredPart)
-	return Decision{RetryAfter: max(protocol.MinRetryAfter, back)}
+	delay := min(in.ReadyIn+returnMargin, in.TimeLeft/retryDivisor)
+	return Decision{RetryAfter: max(protocol.MinRetryAfter, delay)}
 }
 
 // lasts reports whether the caller still waits and the deadline has not passed after t.
--- a/coordination/waiting/waiting_test.go
+++ b/coordination/waiting/waiting_test.go
@@ -11,7 +11,7 @@
 const ms = time.Millisecond
 
 func TestDecide(t *testing.T) {
-	patient := Input{Margin: time.Second, TimeLeft: 25 * time.Second, Target: 2500 * ms, MaxWait: 10 * time.Second}
+	base := Input{Margin: time.Second, TimeLeft: 25 * time.Second, Target: 2500 * ms, MaxWait: 10 * time.Second}
 	cases := []struct {
 		name   string
 		change func(*Input)
@@ -33,7 +33,7 @@
 		{"does not wait beyond the deadline", func(in *Input) { in.ReadyIn, in.TimeLeft = 6*time.Second, 3*time.Second }, false, 100 * ms, time.Second},
 	}
 	for _, c := range cases {
-		in := patient
+		in := base
 		c.change(&in)
 		d := Decide(in)
 		if d.Wait != c.wait || !c.wait && (d.RetryAfter < c.after || d.RetryAfter > c.before) {
@@ -49,7 +49,7 @@
 		for left := 50 * ms; left < 25*time.Second; left += 490 * ms {
 			for _, margin := range []time.Duration{0, 3 * time.Second} {
 				d := Decide(Input{ReadyIn: ready, Margin: margin, TimeLeft: left, Target: 400 * ms, MaxWait: 2400 * ms})
-				if !d.Wait && (d.RetryAfter < protocol.MinRetryAfter || d.RetryAfter > max(protocol.MinRetryAfter, left/honouredPart)) {
+				if !d.Wait && (d.RetryAfter < protocol.MinRetryAfter || d.RetryAfter > max(protocol.MinRetryAfter, left/retryDivisor)) {
 					t.Fatalf("model ready in %v, %v left: %+v, want a retry delay that callers respect", ready, left, d)
 				}
 				if d.Wait && (ready > left || ready > 2400*ms) {
@@ -92,10 +92,10 @@
 		}
 		m.Observe(Nearby, late)
 	}
-	if part := float64(covered) / float64(n); part < 0.87 || part > 0.93 {
-		t.Fatalf("%.3f of the requests are covered, want 0.87 to 0.93", part)
+	if share := float64(covered) / float64(n); share < 0.87 || share > 0.93 {
+		t.Fatalf("%.3f of the requests are covered, want 0.87 to 0.93", share)
 	}
-	if m.Of(WeightStore) != startMargins[WeightStore] {
+	if m.Of(WeightStore) != initialMargins[WeightStore] {
 		t.Fatal("observations of one source changed the margin of another")
 	}
 }
@@ -105,7 +105,7 @@
 	for range 200 {
 		m.Observe(WeightStore, time.Hour)
 	}
-	if m.Of(WeightStore) != marginMost {
+	if m.Of(WeightStore) != maxMargin {
 		t.Errorf("margin %v", m.Of(WeightStore))
 	}
 	for range 1000 {
