--- a/coordination/keepalive/keepalive.go
+++ b/coordination/keepalive/keepalive.go
@@ -164,9 +164,8 @@
 	return p.opt.ColdStartWeight * u.cost.Load.Seconds() * max(1, u.burst)
 }
 
-// Prewarm returns the units to load before requests for them arrive: units whose next part
-// of the day has had arrivals on most days, so that the saved cold start outweighs the idle
-// time.
+// Prewarm returns the units to load before requests for them arrive: units for whose next
+// part of the day arrivals are so likely that the saved cold start outweighs the idle time.
 func (p *Policy) Prewarm(now time.Time) []string {
 	var list []string
 	for name, u := range p.units {
--- a/coordination/residency/engine_test.go
+++ b/coordination/residency/engine_test.go
@@ -28,7 +28,7 @@
 	// runsUntil returns when the running requests of a model end, which its unload waits
 	// for; nil means that none run.
 	runsUntil func(model string) time.Time
-	// coming holds the adapters that are being loaded, and leaving those that requests
+	// loading holds the adapters that are being loaded, and unloading those that requests
 	// still use after their unload, with the time at which the load or unload is complete.
 	loading, unloading map[AdapterRef]time.Time
 	// adapterTime is the load time of an adapter.
--- a/coordination/residency/incarnations.go
+++ b/coordination/residency/incarnations.go
@@ -9,9 +9,9 @@
 	"github.com/doorvalve/doorvalve/state/routing"
 )
 
-// lateOrder is an unanswered order. The engine may carry it out seconds later, also in its
-// next incarnation: that one counts orders from zero again and so can reach the count that
-// the order expects.
+// lateOrder is an unanswered order. The engine may carry it out seconds later, even in its
+// next incarnation, which counts orders from zero again and so can reach the count that the
+// order expects.
 type lateOrder struct {
 	order Order
 	until time.Time // the order cannot arrive any later
@@ -30,8 +30,9 @@
 	return m.SizeMB
 }
 
-// recordLate processes the outcome of an order: an unanswered one may arrive late, and one
-// that was sent to an earlier incarnation and accepted may have been accepted by this one.
+// recordLate processes the outcome of an order: an unanswered order may arrive late, and an
+// accepted order to an earlier incarnation may have been accepted by the present one
+// instead.
 func (e *engineState) recordLate(now time.Time, o Order, outcome Outcome) {
 	e.lateOrders = slices.DeleteFunc(e.lateOrders, func(l lateOrder) bool { return l.order == o })
 	if outcome == Unanswered || outcome == Accepted && !o.Endpoint.Matches(e.incarnation) {
@@ -44,10 +45,10 @@
 	e.lateOrders = append(e.lateOrders, lateOrder{o, now.Add(lateOrderTTL)})
 }
 
-// pruneLate drops late orders that can have no effect any more: those whose time has
-// passed, and those whose expected count this incarnation has exceeded. An order to this
-// same incarnation is kept until its time has passed, since the next incarnation may reach
-// the expected count.
+// pruneLate drops late orders that can have no effect any more: their time has passed, or
+// this incarnation has accepted more orders than they expect. An order to this same
+// incarnation is kept until its time has passed, since the next incarnation may reach the
+// expected count.
 func (e *engineState) pruneLate(now time.Time) {
 	e.lateOrders = slices.DeleteFunc(e.lateOrders, func(l lateOrder) bool {
 		counted := e.synced && e.sequence > l.order.Expect && !l.order.Endpoint.Matches(e.incarnation)
@@ -87,8 +88,8 @@
 	return next
 }
 
-// replaceUnlistedIncarnation does the same before the store lists the new incarnation. The
-// report came from the address in the last entry.
+// replaceUnlistedIncarnation is like replaceIncarnation, for a new incarnation that the
+// store does not list yet. Its report came from the address in the previous entry.
 func (p *Planner) replaceUnlistedIncarnation(now time.Time, e *engineState, incarnation fleet.Incarnation) *engineState {
 	next := p.replaceIncarnation(now, e, incarnation)
 	entry := *e.endpoint
--- a/coordination/residency/incarnations_test.go
+++ b/coordination/residency/incarnations_test.go
@@ -23,8 +23,8 @@
 }
 
 // An unanswered order may be carried out seconds later, by the next incarnation of its
-// engine: that one has accepted as many orders as the late order expects and has loaded
-// other models in the meantime.
+// engine, if that incarnation has accepted as many orders as the late order expects and has
+// loaded other models in the meantime.
 func TestLateOrderOfAnEarlierLifeFindsRoom(t *testing.T) {
 	for _, successor := range []bool{false, true} {
 		w := newSimCluster(0, 1)
--- a/coordination/residency/planner.go
+++ b/coordination/residency/planner.go
@@ -20,7 +20,7 @@
 	confirmed    bool
 	lastUse      time.Time
 	lastAnswered time.Time // last time that an answer directed a request here
-	keepUntil    time.Time // no unload before: a caller was promised the model
+	keepUntil    time.Time // promised to a caller until this time
 }
 
 type adapter struct {
--- a/coordination/residency/planner_test.go
+++ b/coordination/residency/planner_test.go
@@ -34,11 +34,11 @@
 	late      []delayedOrder
 	lateDelay time.Duration // delay of an order with the fate "late"
 	fence     uint64
-	// chance returns the fate of an order; nil means that all orders are answered.
+	// fate returns the fate of an order; nil means that all orders are answered.
 	fate func() string
 	// beforeStep is called before each step if it is not nil.
 	beforeStep func(step time.Duration)
-	// silent returns whether an engine fails to report; nil means that it always reports.
+	// noReport returns whether an engine fails to report; nil means that it always reports.
 	noReport func() bool
 	orders   int
 	refused  int // orders that found an engine busy
--- a/coordination/residency/types.go
+++ b/coordination/residency/types.go
@@ -184,8 +184,8 @@
 	// replica, so that no load is needed when one engine fails.
 	secondReplicaFrom = 8
 	// idleMargin is added to the interval at which daemons report running requests before a
-	// model that was returned in an answer counts as idle. It covers the way of the request
-	// to the endpoint and of the report to the coordinator.
+	// model that was returned in an answer counts as idle. It covers the transmission of
+	// the request to the endpoint and of the report to the coordinator.
 	idleMargin = 160 * time.Millisecond
 	// keepForWaiting is how long a model stays loaded after it is ready for a waiting
 	// request.
--- a/coordination/waiting/queue.go
+++ b/coordination/waiting/queue.go
@@ -17,9 +17,9 @@
 // Join decides whether a request joins the queue of a full engine. If more requests arrive
 // than the engines can process, a queue grows until its callers leave. All requests are
 // then late, while no more of them are served than with a queue short enough for them to be
-// in time. A request that would be late is therefore refused immediately, and told to retry
-// when the requests ahead of it have started. It has not run yet, and more engines may hold
-// its model by then.
+// in time. A request that would be late is therefore refused immediately, with a retry
+// delay until the requests ahead of it have started. It has not run yet, and more engines
+// may hold its model by then.
 func Join(in QueueInput) Decision {
 	if in.StartsIn <= 0 || in.Elapsed+in.StartsIn+firstEventTime <= in.Target {
 		return Decision{Wait: true}
