--- a/coordination/residency/engine_test.go
+++ b/coordination/residency/engine_test.go
@@ -9,7 +9,7 @@
 	"github.com/doorvalve/doorvalve/state/storeversion"
 )
 
-// simEngine is an engine as the platform's pages describe it, in virtual time.
+// simEngine simulates an engine of the platform in virtual time.
 type simEngine struct {
 	conf     *routing.Engine
 	endpoint *fleet.Endpoint
@@ -17,31 +17,34 @@
 	models   map[string][]string // loaded, with adapters
 	onDisk   map[string]bool
 	busy     bool
-	// unloadTime is how long an unload takes where nothing runs; zero: 10 ms.
+	// unloadTime is the duration of an unload if no request of the model runs; zero means
+	// 10 ms.
 	unloadTime time.Duration
-	// fromStore says that the order in progress is a load from the store.
+	// fromStore reports whether the order in progress is a load from the store.
 	fromStore bool
 	doneAt    time.Time
 	during    Order
-	runsEnd   time.Time // unloads wait for it
-	// runsUntil is when the runs of a model end, which its unload waits for; nil: none.
+	runsEnd   time.Time // unloads are not complete before
+	// runsUntil returns when the running requests of a model end, which its unload waits
+	// for; nil means that none run.
 	runsUntil func(model string) time.Time
-	// coming are adapters on their way, and leaving ones that requests still
-	// use, with the time at which they are there or gone.
-	coming, leaving map[AdapterRef]time.Time
-	// adapterTime is how long an adapter takes to come.
+	// loading holds the adapters that are being loaded, and unloading those that requests
+	// still use after their unload, with the time at which the load or unload is complete.
+	loading, unloading map[AdapterRef]time.Time
+	// adapterTime is the load time of an adapter.
 	adapterTime time.Duration
-	// overloaded is set when the engine was ordered beyond its memory or
-	// adapter slots, which crashes it.
+	// overloaded is set when the engine received an order beyond its memory or adapter
+	// slots, which crashes a real engine.
 	overloaded bool
-	history    []simState // for reports that lag
+	history    []simState // for delayed reports
 }
 
-// firstBorn is the start of the engines that have not started again, long ago.
-var firstBorn = start.Add(-time.Hour).UnixMilli()
+// initialBorn is the start time of engines that have not been restarted; it lies far in the
+// past.
+var initialBorn = start.Add(-time.Hour).UnixMilli()
 
-// life names an engine whose starts are not told apart.
-func life(id string) fleet.Incarnation { return fleet.Incarnation{ID: id} }
+// incarnation returns an incarnation of an engine whose start time is unknown.
+func incarnation(id string) fleet.Incarnation { return fleet.Incarnation{ID: id} }
 
 type simState struct {
 	at     time.Time
@@ -49,7 +52,7 @@
 }
 
 func newSimEngine(conf *routing.Engine, id string, models ...string) *simEngine {
-	e := &simEngine{conf: conf, models: map[string][]string{}, coming: map[AdapterRef]time.Time{}, leaving: map[AdapterRef]time.Time{}, onDisk: map[string]bool{}, endpoint: &fleet.Endpoint{ID: id, StartUnixMs: firstBorn, Service: "s", Address: id, Version: storeversion.Version{Revision: 1}}}
+	e := &simEngine{conf: conf, models: map[string][]string{}, loading: map[AdapterRef]time.Time{}, unloading: map[AdapterRef]time.Time{}, onDisk: map[string]bool{}, endpoint: &fleet.Endpoint{ID: id, StartUnixMs: initialBorn, Service: "s", Address: id, Version: storeversion.Version{Revision: 1}}}
 	for _, m := range models {
 		e.models[m] = nil
 		e.onDisk[m] = true
@@ -68,7 +71,7 @@
 
 func (e *simEngine) loaded() []fleet.LoadedModel {
 	var list []fleet.LoadedModel
-	for _, m := range keysOf(e.models) {
+	for _, m := range sortedKeys(e.models) {
 		list = append(list, fleet.LoadedModel{Model: m, Adapters: slices.Clone(e.models[m])})
 	}
 	return list
@@ -82,8 +85,8 @@
 	return sum
 }
 
-// restart ends the engine's life and begins the next under the same id: it holds
-// nothing but its disk, and counts orders anew.
+// restart starts a new incarnation of the engine under the same id: it keeps only its disk,
+// and counts orders from zero.
 func (e *simEngine) restart(now time.Time) {
 	next := newSimEngine(e.conf, e.endpoint.ID)
 	next.onDisk, next.adapterTime = e.onDisk, e.adapterTime
@@ -100,9 +103,9 @@
 		e.busy, e.fromStore = false, false
 		if e.during.Unload {
 			delete(e.models, e.during.Model)
-			for ref := range e.coming {
+			for ref := range e.loading {
 				if ref.Model == e.during.Model {
-					delete(e.coming, ref)
+					delete(e.loading, ref)
 				}
 			}
 		} else {
@@ -110,31 +113,31 @@
 			e.onDisk[e.during.Model] = true
 		}
 	}
-	for ref, at := range e.coming {
+	for ref, at := range e.loading {
 		if !now.Before(at) {
-			delete(e.coming, ref)
+			delete(e.loading, ref)
 			if _, ok := e.models[ref.Model]; ok {
 				e.models[ref.Model] = append(e.models[ref.Model], ref.Adapter)
 			}
 		}
 	}
-	for ref, at := range e.leaving {
+	for ref, at := range e.unloading {
 		if !now.Before(at) {
-			delete(e.leaving, ref)
+			delete(e.unloading, ref)
 			e.models[ref.Model] = slices.DeleteFunc(e.models[ref.Model], func(a string) bool { return a == ref.Adapter })
 		}
 	}
-	var coming []AdapterRef
-	for ref := range e.coming {
-		coming = append(coming, ref)
+	var loading []AdapterRef
+	for ref := range e.loading {
+		loading = append(loading, ref)
 	}
 	e.history = append(e.history, simState{now, Report{
-		LoadingAdapters: coming,
+		LoadingAdapters: loading,
 		Endpoint:        e.endpoint.Incarnation(), Sequence: e.sequence, Busy: e.busy, Models: e.loaded(), OnDisk: keys(e.onDisk),
 	}})
 }
 
-// report returns the state of a while ago.
+// report returns the engine's state as of lag before now.
 func (e *simEngine) report(now time.Time, lag time.Duration) Report {
 	r := e.history[0].report
 	for _, s := range e.history {
@@ -146,7 +149,7 @@
 	return r
 }
 
-// order takes an order.
+// order executes an order if the engine accepts it.
 func (e *simEngine) order(now time.Time, o Order) Outcome {
 	_, holds := e.models[o.Model]
 	switch {
@@ -169,12 +172,12 @@
 	if e.memory()+e.conf.Models[o.Model].SizeMB > e.conf.MemoryMB {
 		e.overloaded = true
 	}
-	took := e.conf.Models[o.Model].LoadFromStore
+	duration := e.conf.Models[o.Model].LoadFromStore
 	e.fromStore = !e.onDisk[o.Model]
 	if e.onDisk[o.Model] {
-		took = e.conf.Models[o.Model].LoadFromDisk
+		duration = e.conf.Models[o.Model].LoadFromDisk
 	}
-	e.doneAt = now.Add(took)
+	e.doneAt = now.Add(duration)
 	return Accepted
 }
 
@@ -183,22 +186,22 @@
 		return Refused
 	}
 	ref := AdapterRef{o.Model, o.Adapter}
-	has := slices.Contains(e.models[o.Model], o.Adapter) || !e.coming[ref].IsZero()
+	has := slices.Contains(e.models[o.Model], o.Adapter) || !e.loading[ref].IsZero()
 	if o.Unload != has {
 		return AlreadyDone
 	}
 	e.sequence++
 	if o.Unload && now.Before(e.runsEnd) {
-		e.leaving[ref] = e.runsEnd
+		e.unloading[ref] = e.runsEnd
 		return Accepted
 	}
 	if o.Unload {
-		delete(e.coming, ref)
+		delete(e.loading, ref)
 		e.models[o.Model] = slices.DeleteFunc(e.models[o.Model], func(a string) bool { return a == o.Adapter })
 		return AlreadyDone
 	}
-	e.coming[ref] = now.Add(e.adapterTime)
-	total := len(e.coming)
+	e.loading[ref] = now.Add(e.adapterTime)
+	total := len(e.loading)
 	for _, adapters := range e.models {
 		total += len(adapters)
 	}
@@ -208,9 +211,9 @@
 	return Accepted
 }
 
-func keys(m map[string]bool) []string { return keysOf(m) }
+func keys(m map[string]bool) []string { return sortedKeys(m) }
 
-func keysOf[V any](m map[string]V) []string {
+func sortedKeys[V any](m map[string]V) []string {
 	list := make([]string, 0, len(m))
 	for k := range m {
 		list = append(list, k)
