--- a/coordination/quarantine/blame.go
+++ b/coordination/quarantine/blame.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// standing judges a case by itself and by what else ran where its endpoints ended.
+// assess scores a record from its own crashes and from the other requests that ran at the crashed
+// endpoints.
 func (m *Machine) standing(c *Record) Assessment {
 	s := Assessment{Record: c.clone()}
 	mine := c.wholeEnds()
@@ -21,8 +22,8 @@
 	return s
 }
 
-// explained reports whether another request that ran at the endpoint has ended more
-// endpoints than this one: then it has ended this one too.
+// explainedByOther reports whether another request that ran at the same endpoint has crashed more
+// endpoints than this one. That request is then taken to be the cause of this crash, too.
 func (m *Machine) explained(c *Record, e Crash, mine int) bool {
 	for print := range m.byLife[e.Incarnation] {
 		other := m.cases[print]
@@ -33,7 +34,7 @@
 	return false
 }
 
-// forgave reports whether a case does not count the end, or only in part.
+// discounts reports whether the record counts a crash not at all or only in part.
 func (c *Record) forgave(e Crash) bool {
 	for _, mine := range c.Crashes {
 		if mine.Same(e) {
@@ -43,8 +44,8 @@
 	return true
 }
 
-// alongside reports whether an attempt had been sent well before another endpoint ended
-// first: both worked on the request at the same time.
+// overlapsEarlier reports whether an attempt had been sent well before an earlier crash of another
+// endpoint: both endpoints were then working on the request at the same time.
 func alongside(earlier []Crash, e Crash) bool {
 	for _, before := range earlier {
 		if !before.Cleared && !before.At.After(e.At) && before.At.Sub(e.Sent) > sameMoment {
@@ -54,7 +55,7 @@
 	return false
 }
 
-// holdFor returns how long a request is held back after so many trials.
+// holdTime returns how long a request is held back after the given number of probes.
 func holdFor(trials int) time.Duration {
 	d := holdFirst
 	for range trials {
--- a/coordination/quarantine/machine.go
+++ b/coordination/quarantine/machine.go
@@ -14,20 +14,20 @@
 	"github.com/doorvalve/doorvalve/state/fleet"
 )
 
-// Machine is one daemon's belief. It is not safe for concurrent use.
+// Machine holds one daemon's records of suspect requests. It is not safe for concurrent use.
 //
-// Invariants: no life counts twice in a case; a forgiven end stays forgiven and the
-// number of trials never falls, so that cases can be merged in any order; a request is
-// held back only if its ends say so, and every hold has a time at which it is tried.
+// Invariants: an incarnation counts at most once in a record; a cleared crash stays cleared and the
+// number of probes never falls, so records can be merged in any order; a request is held back only
+// if its crashes reach the threshold, and every hold has a time at which the next probe is due.
 type Machine struct {
 	cases  map[protocol.Fingerprint]*Record
 	byLife map[fleet.Incarnation]map[protocol.Fingerprint]bool
-	news   map[protocol.Fingerprint]bool // to be told to others
+	news   map[protocol.Fingerprint]bool // not yet sent to other daemons
 	held   map[protocol.Fingerprint]Assessment
-	turned map[protocol.Fingerprint]bool // held back, or no more, since the last Turned
+	turned map[protocol.Fingerprint]bool // held back or released since the last TakeChanged
 }
 
-// New returns a belief that knows nothing.
+// New returns a machine without records.
 func New() *Machine {
 	return &Machine{
 		cases: map[protocol.Fingerprint]*Record{}, byLife: map[fleet.Incarnation]map[protocol.Fingerprint]bool{},
@@ -35,21 +35,23 @@
 	}
 }
 
-// Report is an attempt that ended with its endpoint.
+// CrashedAttempt is an attempt during which its endpoint crashed.
 type CrashedAttempt struct {
 	Fingerprint protocol.Fingerprint
 	Crash       Crash
 	Software    Software
 }
 
-// Ended takes what this daemon has seen. A trial or an end is told to others once.
+// ObserveCrash adds a crash that this daemon has detected. A crash that changes the record becomes
+// pending for the other daemons once.
 func (m *Machine) ObserveCrash(now time.Time, r CrashedAttempt) {
 	m.Merge(now, []Record{{Fingerprint: r.Fingerprint, Crashes: []Crash{r.Crash}, Software: []Software{r.Software}}})
 }
 
-// Served takes it that a request has been answered. One that was held back is harmless if
-// it was sent after the last end; otherwise one answer makes up for one end, so that a
-// request which ends every other endpoint is held back in the end.
+// ObserveSuccess processes the successful answer to a request sent at the given time. If the
+// request is held back and was sent after its last crash, the answer clears all its crashes.
+// Otherwise one answer clears one crash, so that a request that crashes every other endpoint is
+// still held back eventually.
 func (m *Machine) ObserveSuccess(now time.Time, print protocol.Fingerprint, sent time.Time) {
 	c := m.cases[print]
 	if c == nil || c.endsLeft() == 0 {
@@ -69,8 +71,9 @@
 	m.Merge(now, []Record{next})
 }
 
-// Trial lets one request through if its trial is due, and reports whether it does. Only
-// the daemon that all agree on calls it.
+// GrantProbe reports whether a request may be sent now. If the request is held back and its probe
+// is due, GrantProbe counts the probe and returns true. Only the daemon that all daemons agree on
+// for the fingerprint calls it.
 func (m *Machine) GrantProbe(now time.Time, print protocol.Fingerprint, on Software) bool {
 	s := m.held[print]
 	if !s.Held() {
@@ -87,12 +90,12 @@
 	return true
 }
 
-// GiveBack takes it that a trial has reached no endpoint: it has shown nothing, and the
-// next one is due at once.
+// ReturnProbe processes a probe that reached no endpoint. Such a probe shows nothing, so the next
+// one is due at once.
 func (m *Machine) ReturnProbe(now time.Time, print protocol.Fingerprint, trial int) {
 	c := m.cases[print]
 	if c == nil || c.Probes != trial || c.LastReturned >= trial {
-		return // there was another one since, or it was given back
+		return // a later probe was granted, or this one was returned already
 	}
 	next := c.clone()
 	next.Returned++
@@ -100,8 +103,9 @@
 	m.Merge(now, []Record{next})
 }
 
-// Exonerate takes it that this daemon had served a request shortly before attempts that were
-// sent at some times, and so before ends that others tell of.
+// MarkServedBefore sets Crash.ServedBefore where servedBefore reports that this daemon had served
+// the request shortly before the attempt was sent. The crashes may have been reported by other
+// daemons.
 func (m *Machine) MarkServedBefore(now time.Time, print protocol.Fingerprint, servedBefore func(sent time.Time) bool) {
 	c := m.cases[print]
 	if c == nil {
@@ -120,8 +124,8 @@
 	}
 }
 
-// Merge takes cases that others, or this daemon, know. It is idempotent and the order
-// does not matter.
+// Merge adds records from other daemons or from this one. It is idempotent and independent of the
+// order of the calls.
 func (m *Machine) Merge(now time.Time, cases []Record) {
 	for i := range cases {
 		in := &cases[i]
@@ -144,7 +148,7 @@
 	m.bound()
 }
 
-// index notes at which endpoints a request has run.
+// index registers a record under the incarnations that crashed during its request.
 func (m *Machine) index(c *Record) {
 	for _, e := range c.Crashes {
 		if m.byLife[e.Incarnation] == nil {
@@ -163,7 +167,7 @@
 	}
 }
 
-// merge adds what another copy of the case knows, and reports whether that was news.
+// merge adds the content of another copy of the record, and reports whether that changed anything.
 func (c *Record) merge(in *Record) bool {
 	news := false
 	for _, e := range in.Crashes {
@@ -209,8 +213,8 @@
 	return true
 }
 
-// mergeAttempts returns the attempts that either names, the lowest tags first and mostAttempts
-// at most, so that the order in which daemons hear of them does not matter.
+// mergeAttempts returns the union of both lists, reduced to the maxAttempts lowest tags, so that
+// the result does not depend on the order in which daemons receive them.
 func mergeAttempts(a, b []uint32) []uint32 {
 	if len(b) == 0 {
 		return a
@@ -225,7 +229,7 @@
 	return cmp.Or(cmp.Compare(a.Order, b.Order), cmp.Compare(a.Incarnation.ID, b.Incarnation.ID), cmp.Compare(a.Incarnation.StartUnixMs, b.Incarnation.StartUnixMs))
 }
 
-// endsLeft returns the ends that still count, doubtful ones as well.
+// uncleared returns the number of crashes that are not cleared, doubtful ones included.
 func (c *Record) endsLeft() int {
 	n := 0
 	for _, e := range c.Crashes {
@@ -246,7 +250,8 @@
 	return at
 }
 
-// judge judges a case that has changed, and those that ran beside it.
+// reassess updates the assessment of a record that has changed, and of all records that share an
+// incarnation with it.
 func (m *Machine) judge(c *Record) {
 	beside := map[protocol.Fingerprint]bool{c.Fingerprint: true}
 	for _, e := range c.Crashes {
@@ -269,7 +274,7 @@
 	}
 }
 
-// Expire forgets cases in which nothing has happened for long.
+// Expire removes records without activity for longer than Retention.
 func (m *Machine) Expire(now time.Time) {
 	for print, c := range m.cases {
 		if now.Sub(c.last()) > Retention {
@@ -288,8 +293,8 @@
 	}
 }
 
-// bound forgets what may be forgotten first when there are too many cases: an eighth at
-// once, so that a flood is sorted once for many of its requests.
+// enforceLimit removes the lowest-ranked records when there are more than maxRecords. It removes an
+// eighth at once, so that during a flood the records are not sorted for every request.
 func (m *Machine) bound() {
 	if len(m.cases) <= mostCases {
 		return
@@ -299,8 +304,8 @@
 	}
 }
 
-// byWorth returns all cases: those held back first, then by ends that count, then the
-// latest first.
+// ranked returns all records: first those of requests that are held back, then by the number of
+// uncleared crashes, then by latest activity.
 func (m *Machine) byWorth() []*Record {
 	list := make([]*Record, 0, len(m.cases))
 	for _, c := range m.cases {
@@ -318,8 +323,8 @@
 	return list
 }
 
-// News returns cases that others may not know, MostTold at most, once; more says that there
-// are further ones.
+// TakePending returns records that other daemons may lack, at most MaxPerMessage, and marks them as
+// sent. more reports whether further ones are pending.
 func (m *Machine) TakePending() (list []Record, more bool) {
 	for print := range m.news {
 		if len(list) == MaxPerMessage {
@@ -331,10 +336,10 @@
 	return list, false
 }
 
-// HasNews reports whether News would return something.
+// HasPending reports whether TakePending would return a record.
 func (m *Machine) HasPending() bool { return len(m.news) > 0 }
 
-// Turned returns the requests that are held back since the last call, or no more.
+// TakeChanged returns the requests that were held back or released since the last call.
 func (m *Machine) TakeChanged() []Assessment {
 	var list []Assessment
 	for print := range m.turned {
@@ -356,10 +361,10 @@
 	return maps.Clone(m.held)
 }
 
-// Cases returns the number of cases.
+// Len returns the number of records.
 func (m *Machine) Len() int { return len(m.cases) }
 
-// Known returns the case of a request, if there is one.
+// Lookup returns the record of a request, if there is one.
 func (m *Machine) Lookup(print protocol.Fingerprint) (Record, bool) {
 	c := m.cases[print]
 	if c == nil {
@@ -368,8 +373,8 @@
 	return c.clone(), true
 }
 
-// All returns the cases that weigh most, MostTold at most: a daemon that has just started
-// asks for them.
+// Top returns the highest-ranked records, at most MaxPerMessage, for example for a daemon that has
+// just started.
 func (m *Machine) Top() []Record {
 	list := m.byWorth()
 	out := make([]Record, 0, min(MaxPerMessage, len(list)))
@@ -379,8 +384,8 @@
 	return out
 }
 
-// Digest names the belief: daemons with the same one know the same. Times are left out,
-// since each daemon has them by its own clock.
+// Digest returns a checksum of all records: daemons with equal digests hold the same records. Times
+// are left out because each daemon keeps them by its own clock.
 func (m *Machine) Digest() uint64 {
 	var digest uint64
 	for _, c := range m.cases {
@@ -389,7 +394,7 @@
 	return digest
 }
 
-// DigestOf names cases as Machine.Digest does.
+// DigestOf returns the checksum of a list of records, computed as in Machine.Digest.
 func DigestOf(cases []Record) uint64 {
 	var digest uint64
 	for i := range cases {
--- a/coordination/quarantine/merge_test.go
+++ b/coordination/quarantine/merge_test.go
@@ -11,8 +11,8 @@
 	"github.com/doorvalve/doorvalve/state/fleet"
 )
 
-// Daemons that have heard the same words, in any order and any number of times, hold the
-// same requests back until the same time.
+// Guards against daemons that hold different requests back, or for different times, although they
+// have received the same records: each merges them in another order and some of them several times.
 func TestMergeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		words := drawWords(t)
@@ -29,11 +29,11 @@
 			b.Merge(now, []Record{w.clone()})
 		}
 		if a.Digest() != b.Digest() {
-			t.Fatalf("beliefs differ:\n%+v\n%+v", a.Top(), b.Top())
+			t.Fatalf("records differ:\n%+v\n%+v", a.Top(), b.Top())
 		}
 		held, other := a.Held(), b.Held()
 		if len(held) != len(other) {
-			t.Fatalf("%d and %d are held back", len(held), len(other))
+			t.Fatalf("%d and %d requests are held back", len(held), len(other))
 		}
 		for print, s := range held {
 			if !other[print].NextProbe.Equal(s.NextProbe) {
@@ -51,8 +51,8 @@
 	return list
 }
 
-// drawWords draws what daemons may say of three requests at five endpoints. A life has one
-// time of its end, whoever tells of it.
+// drawRecords draws records that daemons may send, of three requests at five endpoints. An
+// incarnation crashes at one time, whichever daemon reports it.
 func drawWords(t *rapid.T) []Record {
 	var words []Record
 	for range rapid.IntRange(1, 12).Draw(t, "words") {
@@ -74,7 +74,7 @@
 	return words
 }
 
-// The cost of a request while something is held back, and of an end beside many others.
+// BenchmarkEndBesideMany measures a crash under 64 requests at once.
 func BenchmarkEndBesideMany(b *testing.B) {
 	b.ReportAllocs()
 	for b.Loop() {
@@ -97,14 +97,14 @@
 	}
 }
 
-// Daemons whose clocks differ drop the same ends of a long list, and so have nothing to
-// tell each other for ever.
+// Guards against daemons that send each other records for ever: with clocks that differ, they must
+// still drop the same crashes of a long list.
 func TestLongListsSettle(t *testing.T) {
 	a, b := New(), New()
 	for i := range 2 * mostEnds {
 		r := seen{"bad", fmt.Sprint("e", i), float64(i), float64(i) + 0.1, false}.report()
 		a.ObserveCrash(at(float64(i)), r)
-		r.Crash.At = r.Crash.At.Add(-20 * time.Second) // as a daemon heard that was suspended
+		r.Crash.At = r.Crash.At.Add(-20 * time.Second) // as received by a daemon whose host was suspended
 		if i%2 == 0 {
 			b.ObserveCrash(at(float64(i)), r)
 		}
@@ -117,10 +117,10 @@
 	}
 	b.Merge(at(40), a.Top())
 	a.Merge(at(40), b.Top())
-	third := seen{"bad", "e0", 0, 0.1, false}.report() // a daemon that was cut off has the first one yet
+	third := seen{"bad", "e0", 0, 0.1, false}.report() // a partitioned daemon still holds the first one
 	third.Crash.At = at(50)
 	a.Merge(at(40), []Record{{Fingerprint: third.Fingerprint, Crashes: []Crash{third.Crash}}})
 	if a.HasPending() || b.HasPending() || a.Digest() != b.Digest() {
-		t.Fatalf("they go on telling each other:\n%+v\n%+v", a.Top(), b.Top())
+		t.Fatalf("records are still exchanged:\n%+v\n%+v", a.Top(), b.Top())
 	}
 }
--- a/coordination/quarantine/quarantine_test.go
+++ b/coordination/quarantine/quarantine_test.go
@@ -19,7 +19,7 @@
 	return protocol.FingerprintOf("POST", "/x", "", "caller", []byte(name))
 }
 
-// seen is an attempt of a request that ended with its endpoint, in seconds.
+// attempt is an attempt during which its endpoint crashed; times are in seconds.
 type seen struct {
 	request, life string
 	sent, at      float64
@@ -32,7 +32,7 @@
 	return CrashedAttempt{Fingerprint: printOf(s.request), Software: v1, Crash: Crash{Incarnation: fleet.Incarnation{ID: s.life}, Sent: at(s.sent), At: at(s.at), Order: at(s.at).UnixMilli(), Doubtful: s.began, Attempts: s.attempts()}}
 }
 
-// attempts tags the attempt by when it was sent: told again, it is the same one.
+// tags tags the attempt by the time it was sent, so that a repeated report names the same attempt.
 func (s seen) attempts() []uint32 {
 	if s.began {
 		return nil
@@ -48,7 +48,7 @@
 	return m
 }
 
-// crasher is a request that ended three engines, each 0.1 s after it was sent there.
+// crasher is a request that crashed three engines, each 0.1 s after it was sent there.
 var crasher = []seen{{"bad", "e1", 1, 1.1, false}, {"bad", "e2", 1.1, 1.2, false}, {"bad", "e3", 3, 3.1, false}}
 
 func TestWhoIsHeldBack(t *testing.T) {
@@ -57,21 +57,21 @@
 		seen []seen
 		held []string
 	}{
-		{"two ends may be chance", crasher[:2], nil},
-		{"three ends", crasher, []string{"bad"}},
-		{"one life, told three times", []seen{{"bad", "e1", 1, 1.1, false}, {"bad", "e1", 1, 1.1, false}, {"bad", "e1", 1.05, 1.15, false}}, nil},
-		{"three lives of an endpoint that does not tell them apart", []seen{{"bad", "e1", 1, 1.1, false}, {"bad", "e1", 4, 4.1, false}, {"bad", "e1", 7, 7.1, false}}, []string{"bad"}},
-		{"five ends in the middle of its answers", []seen{{"long", "e1", 1, 2, true}, {"long", "e2", 2, 3, true}, {"long", "e3", 3, 4, true}, {"long", "e4", 4, 5, true}, {"long", "e5", 5, 6, true}}, nil},
-		{"six ends in the middle of its answers", []seen{{"long", "e1", 1, 2, true}, {"long", "e2", 2, 3, true}, {"long", "e3", 3, 4, true}, {"long", "e4", 4, 5, true}, {"long", "e5", 5, 6, true}, {"long", "e6", 6, 7, true}}, []string{"long"}},
+		{"two crashes may be chance", crasher[:2], nil},
+		{"three crashes", crasher, []string{"bad"}},
+		{"one incarnation, reported three times", []seen{{"bad", "e1", 1, 1.1, false}, {"bad", "e1", 1, 1.1, false}, {"bad", "e1", 1.05, 1.15, false}}, nil},
+		{"three incarnations of an endpoint without start times", []seen{{"bad", "e1", 1, 1.1, false}, {"bad", "e1", 4, 4.1, false}, {"bad", "e1", 7, 7.1, false}}, []string{"bad"}},
+		{"five crashes in the middle of its answers", []seen{{"long", "e1", 1, 2, true}, {"long", "e2", 2, 3, true}, {"long", "e3", 3, 4, true}, {"long", "e4", 4, 5, true}, {"long", "e5", 5, 6, true}}, nil},
+		{"six crashes in the middle of its answers", []seen{{"long", "e1", 1, 2, true}, {"long", "e2", 2, 3, true}, {"long", "e3", 3, 4, true}, {"long", "e4", 4, 5, true}, {"long", "e5", 5, 6, true}, {"long", "e6", 6, 7, true}}, []string{"long"}},
 		{"a popular request on engines that are lost together", []seen{{"popular", "e1", 0.2, 1, false}, {"popular", "e2", 0.3, 1, false}, {"popular", "e3", 0.4, 1.01, false}}, nil},
-		{"three copies at once of a request that ends engines", []seen{{"bad", "e1", 1, 1.1, false}, {"bad", "e2", 1.01, 1.11, false}, {"bad", "e3", 1.02, 1.12, false}}, []string{"bad"}},
-		{"beside a request that ends engines, resumed with it", append([]seen{{"beside", "e1", 0.2, 1.1, true}, {"beside", "e2", 1.1, 1.2, false}}, crasher...), []string{"bad"}},
-		{"three attempts of three daemons that ended with one engine", []seen{{"bad", "e1", 1, 1.1, false}, {"bad", "e1", 1.01, 1.1, false}, {"bad", "e1", 1.02, 1.1, false}}, []string{"bad"}},
-		{"one attempt and then two together", []seen{{"bad", "e1", 1, 1.1, false}, {"bad", "e2", 5, 5.1, false}, {"bad", "e2", 5.05, 5.1, false}}, []string{"bad"}},
-		{"two attempts that ended with one engine", []seen{{"bad", "e1", 1, 1.1, false}, {"bad", "e1", 1.01, 1.1, false}}, nil},
-		{"many answers under way at one engine that ends", []seen{{"long", "e1", 1, 2, true}, {"long", "e1", 1.1, 2, true}, {"long", "e1", 1.2, 2, true}, {"long", "e1", 1.3, 2, true}}, nil},
+		{"three concurrent copies of a request that crashes engines", []seen{{"bad", "e1", 1, 1.1, false}, {"bad", "e2", 1.01, 1.11, false}, {"bad", "e3", 1.02, 1.12, false}}, []string{"bad"}},
+		{"running beside a request that crashes engines, and resumed with it", append([]seen{{"beside", "e1", 0.2, 1.1, true}, {"beside", "e2", 1.1, 1.2, false}}, crasher...), []string{"bad"}},
+		{"three attempts of three daemons when one engine crashed", []seen{{"bad", "e1", 1, 1.1, false}, {"bad", "e1", 1.01, 1.1, false}, {"bad", "e1", 1.02, 1.1, false}}, []string{"bad"}},
+		{"one attempt at a crash, then two at another", []seen{{"bad", "e1", 1, 1.1, false}, {"bad", "e2", 5, 5.1, false}, {"bad", "e2", 5.05, 5.1, false}}, []string{"bad"}},
+		{"two attempts when one engine crashed", []seen{{"bad", "e1", 1, 1.1, false}, {"bad", "e1", 1.01, 1.1, false}}, nil},
+		{"many answers in progress when one engine crashed", []seen{{"long", "e1", 1, 2, true}, {"long", "e1", 1.1, 2, true}, {"long", "e1", 1.2, 2, true}, {"long", "e1", 1.3, 2, true}}, nil},
 		{
-			"beside two such requests, one after the other",
+			"running beside two such requests, one after the other",
 			append([]seen{
 				{"beside", "e2", 1.1, 1.2, false}, {"beside", "e3", 3, 3.1, false}, {"beside", "f1", 5, 5.1, false},
 				{"worse", "f1", 5, 5.1, false}, {"worse", "f2", 6, 6.1, false}, {"worse", "f3", 7, 7.1, false}, {"worse", "f4", 7, 7.1, false},
@@ -89,15 +89,15 @@
 			held := m.Held()
 			for _, s := range c.seen {
 				if _, is := held[printOf(s.request)]; is != want[printOf(s.request)] {
-					t.Errorf("%s: held back %v, blame %d", s.request, is, m.standing(m.cases[printOf(s.request)]).Suspicion)
+					t.Errorf("%s: held back %v, suspicion %d", s.request, is, m.standing(m.cases[printOf(s.request)]).Suspicion)
 				}
 			}
 		})
 	}
 }
 
-// In ten minutes after the third end, a request that ends engines has two trials; each
-// one lets a single request of all daemons through.
+// Guards against probes that cost too many endpoints: in the ten minutes after the third crash
+// there are two, and each lets a single request of all daemons through.
 func TestTrialsGrowRare(t *testing.T) {
 	m := after(crasher...)
 	print, trials := printOf("bad"), []float64{}
@@ -106,13 +106,13 @@
 			continue
 		}
 		if m.GrantProbe(at(s), print, v1) {
-			t.Fatal("a second one went through with it")
+			t.Fatal("a second request was sent beside the probe")
 		}
 		trials = append(trials, s)
 		m.ObserveCrash(at(s+0.1), seen{"bad", fmt.Sprint("t", s), s, s + 0.1, false}.report())
 	}
 	if len(trials) < 4 || trials[0] < 60 || trials[1] > 600 || trials[2] < 600 {
-		t.Fatalf("trials at %v s", trials)
+		t.Fatalf("probes at %v s", trials)
 	}
 }
 
@@ -121,43 +121,44 @@
 	print := printOf("bad")
 	switch {
 	case m.GrantProbe(at(4), print, v1):
-		t.Fatal("the same software was tried at once")
+		t.Fatal("a probe on the same software was granted at once")
 	case !m.GrantProbe(at(4), print, v2):
-		t.Fatal("a new version was not tried")
+		t.Fatal("no probe was granted on a new version")
 	case m.GrantProbe(at(5), print, v2):
-		t.Fatal("it was tried twice")
+		t.Fatal("a second probe was granted on the new version")
 	case !m.GrantProbe(at(6), print, SoftwareOf("next")) || !m.GrantProbe(at(6), print, SoftwareOf("last")):
-		t.Fatal("a new service was not tried")
+		t.Fatal("no probe was granted on a new service")
 	case m.GrantProbe(at(7), print, SoftwareOf("one more")):
-		t.Fatal("software that changes again and again was tried each time")
+		t.Fatal("a probe was granted on each new software without bound")
 	}
 }
 
 func TestServedRequestsAreForgiven(t *testing.T) {
 	m := after(crasher...)
 	print := printOf("bad")
-	m.ObserveSuccess(at(4), print, at(2.5)) // sent before the last end
+	m.ObserveSuccess(at(4), print, at(2.5)) // sent before the last crash
 	if len(m.Held()) != 0 {
-		t.Fatal("an answer did not make up for an end")
+		t.Fatal("an answer did not clear a crash")
 	}
 	m.ObserveCrash(at(5.1), seen{"bad", "e4", 5, 5.1, false}.report())
 	if len(m.Held()) != 1 {
-		t.Fatal("an answer made up for more than one end")
+		t.Fatal("an answer cleared more than one crash")
 	}
 	if !m.GrantProbe(at(70), print, v1) {
-		t.Fatal("no trial")
+		t.Fatal("no probe was granted")
 	}
 	m.ObserveSuccess(at(71), print, at(70))
 	if len(m.Held()) != 0 || m.cases[print].endsLeft() != 0 {
-		t.Fatal("it passed its trial and is held back")
+		t.Fatal("the request passed its probe and is still held back")
 	}
 	m.Merge(at(42), []Record{{Fingerprint: print, Crashes: []Crash{crasher[0].report().Crash}}})
 	if m.cases[print].endsLeft() != 0 {
-		t.Fatal("another daemon's older word undid it")
+		t.Fatal("an older record of another daemon restored a cleared crash")
 	}
 }
 
-// A request that ends every second engine is held back in the end.
+// Guards against a request that crashes every second engine and is never held back because its
+// answers clear its crashes.
 func TestSometimesCrashing(t *testing.T) {
 	m := New()
 	for i := range 40 {
@@ -169,11 +170,11 @@
 		}
 		m.ObserveSuccess(at(s+0.5), printOf("bad"), at(s+0.4))
 	}
-	t.Fatal("never held back")
+	t.Fatal("the request is never held back")
 }
 
-// A flood of requests that each end one endpoint takes bounded memory and does not push
-// out what is held back.
+// Guards against a flood of requests that each crash one endpoint: the memory stays bounded and
+// requests that are held back keep their records.
 func TestFloodIsBounded(t *testing.T) {
 	m := after(crasher...)
 	for i := range 5 * mostCases {
@@ -181,16 +182,16 @@
 		m.ObserveCrash(at(s), seen{fmt.Sprint("flood", i), fmt.Sprint("f", i), s - 0.1, s, false}.report())
 	}
 	if m.Len() > mostCases || len(m.byLife) > mostCases*mostEnds {
-		t.Fatalf("%d cases, %d lives", m.Len(), len(m.byLife))
+		t.Fatalf("%d records, %d incarnations", m.Len(), len(m.byLife))
 	}
 	if !m.held[printOf("bad")].Held() {
-		t.Fatal("the request that is held back was forgotten")
+		t.Fatal("the record of the request that is held back was removed")
 	}
 	if news, more := m.TakePending(); len(news) != MaxPerMessage || !more {
-		t.Fatalf("%d cases in one message, more: %v", len(news), more)
+		t.Fatalf("%d records in one message, more: %v", len(news), more)
 	}
 	if all := m.Top(); len(all) != MaxPerMessage || all[0].Fingerprint != printOf("bad") {
-		t.Fatalf("a daemon that starts is told %d cases, not the one that is held back first", len(all))
+		t.Fatalf("a starting daemon receives %d records, and the request that is held back is not the first", len(all))
 	}
 }
 
@@ -198,10 +199,10 @@
 	m := after(crasher...)
 	m.Expire(at(3.2).Add(Retention))
 	if m.Len() != 0 || len(m.Held()) != 0 || len(m.byLife) != 0 {
-		t.Fatal("something is left")
+		t.Fatal("expired records are left")
 	}
 	m.Merge(at(3.2).Add(Retention), []Record{{Fingerprint: printOf("bad"), Crashes: []Crash{crasher[0].report().Crash}}})
 	if m.Len() != 0 {
-		t.Fatal("it came back")
+		t.Fatal("an expired record was merged again")
 	}
 }
--- a/coordination/quarantine/types.go
+++ b/coordination/quarantine/types.go
@@ -1,8 +1,10 @@
-// Package quarantine decides what becomes of a request under which endpoints have ended:
-// it is sent, it goes through as the only trial of all daemons, or it is refused until
-// then. The belief is a set of cases that daemons merge in any order and any number of
-// times, so that all of them come to the same one. The package is a state machine without
-// I/O: what was seen and the time go in, decisions and what others must be told come out.
+// Package quarantine decides what happens to a request during which endpoints have crashed: it is
+// sent as usual, it is sent as the only probe of all daemons, or it is refused until the next probe
+// is due.
+//
+// Each daemon holds a set of records, which daemons merge in any order and any number of times, so
+// that all of them converge to the same set. Machine is a state machine without I/O: callers pass
+// events and the time, and carry out the decisions and send the pending records that it returns.
 package quarantine
 
 import (
@@ -17,89 +19,94 @@
 )
 
 const (
-	// wholeBlame is what an end counts against a request whose answer had not begun.
+	// wholeCrash is the suspicion that a crash adds to a request whose answer had not begun.
 	wholeBlame = 2
-	// partBlame is what it counts where that is less likely: events of the answer had
-	// come, so that the endpoint had lived through beginning it; or the attempt was sent
-	// well before another endpoint ended under the same request, as those of a popular
-	// request are when several endpoints are lost at once.
+	// partialCrash is the suspicion added where the request is a less likely cause: events of the
+	// answer had arrived, so the endpoint had survived the start of the answer; or the attempt was
+	// sent well before another endpoint crashed during the same request, as happens with a popular
+	// request when several endpoints are lost at once.
 	partBlame = 1
-	// mostAttempts bounds the attempts of a request that count at one life. Callers send a
-	// request that has found no model loaded again and again, and once it is, their attempts
-	// begin together and end together: three at one engine show what three engines do.
+	// maxAttempts bounds the attempts of a request that count for one incarnation. Callers repeat a
+	// request that has found no model loaded, and once the model is loaded their attempts start
+	// together and crash together: three of them at one engine are as much evidence as crashes of
+	// three engines.
 	mostAttempts = 3
-	// blameHeld is the blame from which a request is held back: three whole ends. Two
-	// may be chance; each further one costs an endpoint with all that runs there.
+	// holdThreshold is the suspicion from which a request is held back: three whole crashes. Two
+	// may be chance; each further one costs an endpoint with all requests running there.
 	blameHeld = 3 * wholeBlame
-	// sameMoment is how much later than it happened an end may be known: an attempt
-	// sent so shortly before another end may have been sent because of it.
+	// detectionDelay is how long after a crash it may be detected: an attempt sent within this time
+	// before another crash may be a retry caused by that crash.
 	sameMoment = 250 * time.Millisecond
-	// sameEnd bounds how far apart daemons may place one end by their clocks, and so the
-	// time in which an endpoint that ends again is not seen to.
+	// sameCrashWithin bounds how far apart the clocks of daemons may place one crash. A second
+	// crash of an endpoint within this time is therefore not recognized where incarnations have no
+	// start time.
 	sameEnd = 2 * time.Second
 
-	// holdFirst is the time until the first trial, and holdGrowth what each trial
-	// multiplies it by, up to holdMost: a trial of a request that still ends endpoints
-	// costs one of them with all that runs there, so there are two in the first ten
-	// minutes, and two an hour later on.
+	// holdFirst is the time until the first probe. Each probe multiplies the hold by holdGrowth, up
+	// to holdMax. A probe of a request that still crashes endpoints costs one of them with all
+	// requests running there, so there are two probes in the first ten minutes and two an hour
+	// later on.
 	holdFirst  = time.Minute
 	holdGrowth = 4
 	holdMost   = 30 * time.Minute
-	// Remember is how long a case is kept after the last thing that happened in it;
-	// longer than the longest hold, so that it ends by a trial and not by forgetting.
+	// Retention is how long a record is kept after its last activity. It is longer than the longest
+	// hold, so that a hold ends with a probe and not with the removal of the record.
 	Retention = time.Hour
 
-	// mostCases bounds the memory: at some 200 bytes, half a megabyte. Of a flood of
-	// requests that each end one endpoint, the cases with the least blame go first, of
-	// these the oldest; they are no loss, since a request that has ended one or two
-	// endpoints is sent in any case.
+	// maxRecords bounds the memory: half a megabyte, at some 200 bytes a record. In a flood of
+	// requests that each crash one endpoint, the records with the lowest suspicion are removed
+	// first, the oldest of them first. Nothing is lost by that, because a request that has crashed
+	// one or two endpoints is sent in any case.
 	mostCases = 2048
-	// mostEnds bounds the ends of a case; the lowest in order go first.
+	// maxCrashes bounds the crashes of a record; those with the lowest Order are dropped first.
 	mostEnds = 8
-	// mostSoftware bounds how often new software alone is a reason for a trial.
+	// maxSoftware bounds how often a change of the software alone makes a probe due.
 	mostSoftware = 4
-	// MostTold bounds the cases of one message, at some 100 bytes each.
+	// MaxPerMessage bounds the records of one message, at some 100 bytes each.
 	MaxPerMessage = 256
 )
 
-// Software names what a request runs on: a new version of it may bear what the last one
-// did not.
+// Software identifies what a request runs on. A new version may survive a request that crashed the
+// previous one.
 type Software uint64
 
-// SoftwareOf names a service, a model and its version, or whatever tells them apart.
+// SoftwareOf returns the identifier of a service, a model and its version, or of other parts that
+// distinguish the software.
 func SoftwareOf(parts ...string) Software {
 	return Software(xxhash.Sum64String(strings.Join(parts, "\x00")))
 }
 
-// End is one life of an endpoint that ended while it worked on a request.
+// Crash is the crash of one incarnation of an endpoint while it worked on a request.
 type Crash struct {
 	Incarnation fleet.Incarnation
-	// Doubtful ends are less likely the request's doing: events of the answer had come, so
-	// that the endpoint had lived through beginning it.
+	// Doubtful is set if events of the answer had arrived, so that the endpoint had survived the
+	// start of the answer. The request is then a less likely cause of the crash.
 	Doubtful bool
-	// Served ends are so too: some daemon, also one that saw nothing of the end, had served
-	// the same request shortly before. A popular request is known by that.
+	// ServedBefore is set if some daemon, possibly one that did not detect the crash, had served
+	// the same request shortly before, as happens with popular requests. The request is then a less
+	// likely cause, too.
 	ServedBefore bool
-	Sent         time.Time // when the request was sent there
+	Sent         time.Time // when the request was sent to the endpoint
 	At           time.Time
-	// Order is the Unix time in milliseconds, by the clock of the daemon that saw it
-	// first. Unlike At it is the same for all daemons, so that all drop the same ends.
+	// Order is the Unix time in milliseconds by the clock of the daemon that detected the crash
+	// first. Unlike At it is the same at all daemons, so that all of them drop the same crashes.
 	Order int64
-	// Forgiven ends count no more: the request has been served since.
+	// Cleared is set if the request has been served since; the crash no longer counts.
 	Cleared bool
-	// Attempts are the attempts of the request that ended with the life, at whichever
-	// daemons, each by a tag of its own; none that are doubtful. It is never changed in place.
+	// Attempts are the tags of the attempts, at any daemon, that crashed with the incarnation;
+	// doubtful attempts are left out. The slice is never changed in place.
 	Attempts []uint32
 }
 
-// doubtful reports whether an end counts in part only.
+// doubtful reports whether the crash counts only in part.
 func (e Crash) doubtful() bool { return e.Doubtful || e.ServedBefore }
 
-// AttemptTag returns the tag of an attempt that a caller has made under some id.
+// AttemptTag returns the tag of the attempt that a caller has made under a request id.
 func AttemptTag(requestID string) uint32 { return uint32(xxhash.Sum64String(requestID)) }
 
-// Same reports whether both tell of the same life of an endpoint. Where lives of one id are
-// not told apart, ends that are further apart than daemons' clocks are of two lives.
+// Same reports whether both are crashes of the same incarnation of an endpoint. Where incarnations
+// of one id carry no start time, crashes further apart than the clocks of daemons belong to
+// different incarnations.
 func (e Crash) Same(other Crash) bool {
 	if !e.Incarnation.Matches(other.Incarnation) {
 		return false
@@ -109,40 +116,41 @@
 	return told || max(apart, -apart) < sameEnd.Milliseconds()
 }
 
-// Case is what is known of one request.
+// Record holds the crashes and probes of one suspect request.
 type Record struct {
 	Fingerprint protocol.Fingerprint
-	Crashes     []Crash // in order
-	Probes      int     // let through while it was held back
+	Crashes     []Crash // sorted by Order
+	Probes      int     // number of probes granted while it was held back
 	ProbedAt    time.Time
-	Software    []Software // on which it has ended endpoints or was tried
-	// Returned is the number of trials that reached no endpoint and were given back, and
-	// Reopened the number of the last of them. While that one is the last trial of all, the
-	// next is due at once. Both only rise.
+	Software    []Software // on which it has crashed endpoints or was probed
+	// Returned is the number of probes that reached no endpoint and were returned, and LastReturned
+	// the number (as counted by Probes) of the latest of them. While that is also the latest probe
+	// of all, the next one is due at once. Both only grow.
 	Returned, LastReturned int
 }
 
-// Standing is what follows from a case.
+// Assessment is what follows from a record.
 type Assessment struct {
-	Record    Record // not to be changed
+	Record    Record // must not be changed
 	Suspicion int
-	NextProbe time.Time // of the next trial; zero for a request that is not held back
+	NextProbe time.Time // when the next probe is due; zero if the request is not held back
 }
 
 // Held reports whether the request is held back.
 func (s Assessment) Held() bool { return !s.NextProbe.IsZero() }
 
-// Tried reports whether the request has had its chance on this software.
+// ProbedOn reports whether the request has crashed endpoints or was probed on this software, or on
+// so many versions that a new one is no reason for a probe.
 func (s Assessment) ProbedOn(on Software) bool {
 	return len(s.Record.Software) >= mostSoftware || slices.Contains(s.Record.Software, on)
 }
 
-// TrialDue reports whether a trial may go through.
+// ProbeDue reports whether a probe may be sent.
 func (s Assessment) ProbeDue(now time.Time, on Software) bool {
 	return s.Held() && (!now.Before(s.NextProbe) || !s.ProbedOn(on))
 }
 
-// Lives returns the endpoints that ended and still count, for logs.
+// CrashedEndpoints returns the ids of the endpoints whose crashes are not cleared, for logs.
 func (s Assessment) CrashedEndpoints() []string {
 	var list []string
 	for _, e := range s.Record.Crashes {
@@ -153,10 +161,10 @@
 	return list
 }
 
-// Last returns when something happened in the case last.
+// LastActivity returns the time of the latest crash or probe.
 func (s Assessment) LastActivity() time.Time { return s.Record.last() }
 
-// due returns when the next trial of a case that is held back is due.
+// nextProbe returns when the next probe of a request that is held back is due.
 func (c *Record) due() time.Time {
 	reopened := c.Probes > 0 && c.LastReturned == c.Probes
 	if reopened && !c.lastEnd().After(c.ProbedAt) {
@@ -165,7 +173,7 @@
 	return c.last().Add(holdFor(c.Probes - c.Returned))
 }
 
-// last returns when something happened in a case last.
+// lastActivity returns the time of the latest crash or probe.
 func (c *Record) last() time.Time {
 	if end := c.lastEnd(); end.After(c.ProbedAt) {
 		return end
@@ -173,7 +181,8 @@
 	return c.ProbedAt
 }
 
-// wholeEnds returns the whole ends that still count, whatever else ran there.
+// wholeCrashes returns the number of whole crashes that are not cleared, regardless of other
+// requests that ran at the endpoints.
 func (c *Record) wholeEnds() int {
 	n := 0
 	for _, e := range c.Crashes {
@@ -184,7 +193,7 @@
 	return n
 }
 
-// clone returns a copy that shares nothing.
+// clone returns a copy whose Crashes and Software can be changed without affecting the original.
 func (c *Record) clone() Record {
 	out := *c
 	out.Crashes, out.Software = slices.Clone(c.Crashes), slices.Clone(c.Software)
