--- a/coordination/quarantine/blame.go
+++ b/coordination/quarantine/blame.go
@@ -4,30 +4,30 @@
 
 // assess scores a record from its own crashes and from the other requests that ran at the crashed
 // endpoints.
-func (m *Machine) standing(c *Record) Assessment {
-	s := Assessment{Record: c.clone()}
-	mine := c.wholeEnds()
-	for i, e := range c.Crashes {
+func (m *Machine) assess(r *Record) Assessment {
+	a := Assessment{Record: r.clone()}
+	whole := r.wholeCrashes()
+	for i, crash := range r.Crashes {
 		switch {
-		case e.Cleared || m.explained(c, e, mine):
-		case e.doubtful() || alongside(c.Crashes[:i], e):
-			s.Suspicion += partBlame
+		case crash.Cleared || m.explainedByOther(r, crash, whole):
+		case crash.doubtful() || overlapsEarlier(r.Crashes[:i], crash):
+			a.Suspicion += partialCrash
 		default:
-			s.Suspicion += wholeBlame * max(1, len(e.Attempts))
+			a.Suspicion += wholeCrash * max(1, len(crash.Attempts))
 		}
 	}
-	if s.Suspicion >= blameHeld {
-		s.NextProbe = c.due()
+	if a.Suspicion >= holdThreshold {
+		a.NextProbe = r.nextProbe()
 	}
-	return s
+	return a
 }
 
 // explainedByOther reports whether another request that ran at the same endpoint has crashed more
 // endpoints than this one. That request is then taken to be the cause of this crash, too.
-func (m *Machine) explained(c *Record, e Crash, mine int) bool {
-	for print := range m.byLife[e.Incarnation] {
-		other := m.cases[print]
-		if other != c && other.wholeEnds() > mine && !other.forgave(e) {
+func (m *Machine) explainedByOther(r *Record, crash Crash, whole int) bool {
+	for print := range m.byIncarnation[crash.Incarnation] {
+		other := m.records[print]
+		if other != r && other.wholeCrashes() > whole && !other.discounts(crash) {
 			return true
 		}
 	}
@@ -35,10 +35,10 @@
 }
 
 // discounts reports whether the record counts a crash not at all or only in part.
-func (c *Record) forgave(e Crash) bool {
-	for _, mine := range c.Crashes {
-		if mine.Same(e) {
-			return mine.Cleared || mine.doubtful()
+func (r *Record) discounts(crash Crash) bool {
+	for _, own := range r.Crashes {
+		if own.Same(crash) {
+			return own.Cleared || own.doubtful()
 		}
 	}
 	return true
@@ -46,9 +46,9 @@
 
 // overlapsEarlier reports whether an attempt had been sent well before an earlier crash of another
 // endpoint: both endpoints were then working on the request at the same time.
-func alongside(earlier []Crash, e Crash) bool {
-	for _, before := range earlier {
-		if !before.Cleared && !before.At.After(e.At) && before.At.Sub(e.Sent) > sameMoment {
+func overlapsEarlier(earlier []Crash, crash Crash) bool {
+	for _, other := range earlier {
+		if !other.Cleared && !other.At.After(crash.At) && other.At.Sub(crash.Sent) > detectionDelay {
 			return true
 		}
 	}
@@ -56,13 +56,13 @@
 }
 
 // holdTime returns how long a request is held back after the given number of probes.
-func holdFor(trials int) time.Duration {
-	d := holdFirst
-	for range trials {
-		if d >= holdMost {
+func holdTime(probes int) time.Duration {
+	d := firstHold
+	for range probes {
+		if d >= maxHold {
 			break
 		}
 		d *= holdGrowth
 	}
-	return min(d, holdMost)
+	return min(d, maxHold)
 }
--- a/coordination/quarantine/machine.go
+++ b/coordination/quarantine/machine.go
@@ -20,18 +20,18 @@
 // number of probes never falls, so records can be merged in any order; a request is held back only
 // if its crashes reach the threshold, and every hold has a time at which the next probe is due.
 type Machine struct {
-	cases  map[protocol.Fingerprint]*Record
-	byLife map[fleet.Incarnation]map[protocol.Fingerprint]bool
-	news   map[protocol.Fingerprint]bool // not yet sent to other daemons
-	held   map[protocol.Fingerprint]Assessment
-	turned map[protocol.Fingerprint]bool // held back or released since the last TakeChanged
+	records       map[protocol.Fingerprint]*Record
+	byIncarnation map[fleet.Incarnation]map[protocol.Fingerprint]bool
+	pending       map[protocol.Fingerprint]bool // not yet sent to other daemons
+	held          map[protocol.Fingerprint]Assessment
+	changed       map[protocol.Fingerprint]bool // held back or released since the last TakeChanged
 }
 
 // New returns a machine without records.
 func New() *Machine {
 	return &Machine{
-		cases: map[protocol.Fingerprint]*Record{}, byLife: map[fleet.Incarnation]map[protocol.Fingerprint]bool{},
-		news: map[protocol.Fingerprint]bool{}, held: map[protocol.Fingerprint]Assessment{}, turned: map[protocol.Fingerprint]bool{},
+		records: map[protocol.Fingerprint]*Record{}, byIncarnation: map[fleet.Incarnation]map[protocol.Fingerprint]bool{},
+		pending: map[protocol.Fingerprint]bool{}, held: map[protocol.Fingerprint]Assessment{}, changed: map[protocol.Fingerprint]bool{},
 	}
 }
 
@@ -44,8 +44,8 @@
 
 // ObserveCrash adds a crash that this daemon has detected. A crash that changes the record becomes
 // pending for the other daemons once.
-func (m *Machine) ObserveCrash(now time.Time, r CrashedAttempt) {
-	m.Merge(now, []Record{{Fingerprint: r.Fingerprint, Crashes: []Crash{r.Crash}, Software: []Software{r.Software}}})
+func (m *Machine) ObserveCrash(now time.Time, a CrashedAttempt) {
+	m.Merge(now, []Record{{Fingerprint: a.Fingerprint, Crashes: []Crash{a.Crash}, Software: []Software{a.Software}}})
 }
 
 // ObserveSuccess processes the successful answer to a request sent at the given time. If the
@@ -53,12 +53,12 @@
 // Otherwise one answer clears one crash, so that a request that crashes every other endpoint is
 // still held back eventually.
 func (m *Machine) ObserveSuccess(now time.Time, print protocol.Fingerprint, sent time.Time) {
-	c := m.cases[print]
-	if c == nil || c.endsLeft() == 0 {
+	r := m.records[print]
+	if r == nil || r.uncleared() == 0 {
 		return
 	}
-	next := c.clone()
-	all := m.held[print].Held() && sent.After(c.lastEnd())
+	next := r.clone()
+	all := m.held[print].Held() && sent.After(r.lastCrash())
 	for i := range next.Crashes {
 		if next.Crashes[i].Cleared {
 			continue
@@ -75,14 +75,14 @@
 // is due, GrantProbe counts the probe and returns true. Only the daemon that all daemons agree on
 // for the fingerprint calls it.
 func (m *Machine) GrantProbe(now time.Time, print protocol.Fingerprint, on Software) bool {
-	s := m.held[print]
-	if !s.Held() {
+	a := m.held[print]
+	if !a.Held() {
 		return true
 	}
-	if !s.ProbeDue(now, on) {
+	if !a.ProbeDue(now, on) {
 		return false
 	}
-	next := s.Record.clone()
+	next := a.Record.clone()
 	next.Probes++
 	next.ProbedAt = now
 	next.Software = append(next.Software, on)
@@ -92,14 +92,14 @@
 
 // ReturnProbe processes a probe that reached no endpoint. Such a probe shows nothing, so the next
 // one is due at once.
-func (m *Machine) ReturnProbe(now time.Time, print protocol.Fingerprint, trial int) {
-	c := m.cases[print]
-	if c == nil || c.Probes != trial || c.LastReturned >= trial {
+func (m *Machine) ReturnProbe(now time.Time, print protocol.Fingerprint, probe int) {
+	r := m.records[print]
+	if r == nil || r.Probes != probe || r.LastReturned >= probe {
 		return // a later probe was granted, or this one was returned already
 	}
-	next := c.clone()
+	next := r.clone()
 	next.Returned++
-	next.LastReturned = trial
+	next.LastReturned = probe
 	m.Merge(now, []Record{next})
 }
 
@@ -107,109 +107,109 @@
 // the request shortly before the attempt was sent. The crashes may have been reported by other
 // daemons.
 func (m *Machine) MarkServedBefore(now time.Time, print protocol.Fingerprint, servedBefore func(sent time.Time) bool) {
-	c := m.cases[print]
-	if c == nil {
+	r := m.records[print]
+	if r == nil {
 		return
 	}
-	next := c.clone()
-	learned := false
+	next := r.clone()
+	changed := false
 	for i := range next.Crashes {
-		e := &next.Crashes[i]
-		if !e.ServedBefore && servedBefore(e.Sent) {
-			e.ServedBefore, learned = true, true
+		crash := &next.Crashes[i]
+		if !crash.ServedBefore && servedBefore(crash.Sent) {
+			crash.ServedBefore, changed = true, true
 		}
 	}
-	if learned {
+	if changed {
 		m.Merge(now, []Record{next})
 	}
 }
 
 // Merge adds records from other daemons or from this one. It is idempotent and independent of the
 // order of the calls.
-func (m *Machine) Merge(now time.Time, cases []Record) {
-	for i := range cases {
-		in := &cases[i]
-		if now.Sub(in.last()) > Retention {
+func (m *Machine) Merge(now time.Time, records []Record) {
+	for i := range records {
+		in := &records[i]
+		if now.Sub(in.lastActivity()) > Retention {
 			continue
 		}
-		c := m.cases[in.Fingerprint]
-		if c == nil {
-			c = &Record{Fingerprint: in.Fingerprint}
-			m.cases[in.Fingerprint] = c
+		r := m.records[in.Fingerprint]
+		if r == nil {
+			r = &Record{Fingerprint: in.Fingerprint}
+			m.records[in.Fingerprint] = r
 		}
-		m.unindex(c)
-		news := c.merge(in)
-		m.index(c)
-		if news {
-			m.news[c.Fingerprint] = true
-			m.judge(c)
+		m.unindex(r)
+		changed := r.merge(in)
+		m.index(r)
+		if changed {
+			m.pending[r.Fingerprint] = true
+			m.reassess(r)
 		}
 	}
-	m.bound()
+	m.enforceLimit()
 }
 
 // index registers a record under the incarnations that crashed during its request.
-func (m *Machine) index(c *Record) {
-	for _, e := range c.Crashes {
-		if m.byLife[e.Incarnation] == nil {
-			m.byLife[e.Incarnation] = map[protocol.Fingerprint]bool{}
+func (m *Machine) index(r *Record) {
+	for _, crash := range r.Crashes {
+		if m.byIncarnation[crash.Incarnation] == nil {
+			m.byIncarnation[crash.Incarnation] = map[protocol.Fingerprint]bool{}
 		}
-		m.byLife[e.Incarnation][c.Fingerprint] = true
+		m.byIncarnation[crash.Incarnation][r.Fingerprint] = true
 	}
 }
 
-func (m *Machine) unindex(c *Record) {
-	for _, e := range c.Crashes {
-		delete(m.byLife[e.Incarnation], c.Fingerprint)
-		if len(m.byLife[e.Incarnation]) == 0 {
-			delete(m.byLife, e.Incarnation)
+func (m *Machine) unindex(r *Record) {
+	for _, crash := range r.Crashes {
+		delete(m.byIncarnation[crash.Incarnation], r.Fingerprint)
+		if len(m.byIncarnation[crash.Incarnation]) == 0 {
+			delete(m.byIncarnation, crash.Incarnation)
 		}
 	}
 }
 
 // merge adds the content of another copy of the record, and reports whether that changed anything.
-func (c *Record) merge(in *Record) bool {
-	news := false
-	for _, e := range in.Crashes {
-		news = c.addEnd(e) || news
+func (r *Record) merge(in *Record) bool {
+	changed := false
+	for _, crash := range in.Crashes {
+		changed = r.addCrash(crash) || changed
 	}
-	if in.Probes > c.Probes {
-		c.Probes, news = in.Probes, true
-		c.ProbedAt = in.ProbedAt
+	if in.Probes > r.Probes {
+		r.Probes, changed = in.Probes, true
+		r.ProbedAt = in.ProbedAt
 	}
-	if in.Returned > c.Returned || in.LastReturned > c.LastReturned {
-		c.Returned, c.LastReturned, news = max(c.Returned, in.Returned), max(c.LastReturned, in.LastReturned), true
+	if in.Returned > r.Returned || in.LastReturned > r.LastReturned {
+		r.Returned, r.LastReturned, changed = max(r.Returned, in.Returned), max(r.LastReturned, in.LastReturned), true
 	}
 	for _, s := range in.Software {
-		if !slices.Contains(c.Software, s) && len(c.Software) < mostSoftware {
-			c.Software, news = append(c.Software, s), true
+		if !slices.Contains(r.Software, s) && len(r.Software) < maxSoftware {
+			r.Software, changed = append(r.Software, s), true
 		}
 	}
-	slices.Sort(c.Software)
-	return news
+	slices.Sort(r.Software)
+	return changed
 }
 
-func (c *Record) addEnd(e Crash) bool {
-	i := slices.IndexFunc(c.Crashes, e.Same)
+func (r *Record) addCrash(crash Crash) bool {
+	i := slices.IndexFunc(r.Crashes, crash.Same)
 	if i >= 0 {
-		have := &c.Crashes[i]
-		news := e.Cleared && !have.Cleared || e.ServedBefore && !have.ServedBefore || have.Doubtful && !e.Doubtful || e.Order < have.Order
-		have.ServedBefore = have.ServedBefore || e.ServedBefore
-		have.Order = min(have.Order, e.Order)
-		have.Cleared = have.Cleared || e.Cleared
-		have.Doubtful = have.Doubtful && e.Doubtful
-		if attempts := mergeAttempts(have.Attempts, e.Attempts); !slices.Equal(attempts, have.Attempts) {
-			have.Attempts, news = attempts, true
+		have := &r.Crashes[i]
+		changed := crash.Cleared && !have.Cleared || crash.ServedBefore && !have.ServedBefore || have.Doubtful && !crash.Doubtful || crash.Order < have.Order
+		have.ServedBefore = have.ServedBefore || crash.ServedBefore
+		have.Order = min(have.Order, crash.Order)
+		have.Cleared = have.Cleared || crash.Cleared
+		have.Doubtful = have.Doubtful && crash.Doubtful
+		if attempts := mergeAttempts(have.Attempts, crash.Attempts); !slices.Equal(attempts, have.Attempts) {
+			have.Attempts, changed = attempts, true
 		}
-		return news
+		return changed
 	}
-	e.Attempts = mergeAttempts(nil, e.Attempts)
-	if len(c.Crashes) >= mostEnds && compareEnds(e, c.Crashes[0]) < 0 {
+	crash.Attempts = mergeAttempts(nil, crash.Attempts)
+	if len(r.Crashes) >= maxCrashes && compareCrashes(crash, r.Crashes[0]) < 0 {
 		return false
 	}
-	c.Crashes = append(c.Crashes, e)
-	slices.SortFunc(c.Crashes, compareEnds)
-	c.Crashes = c.Crashes[max(0, len(c.Crashes)-mostEnds):]
+	r.Crashes = append(r.Crashes, crash)
+	slices.SortFunc(r.Crashes, compareCrashes)
+	r.Crashes = r.Crashes[max(0, len(r.Crashes)-maxCrashes):]
 	return true
 }
 
@@ -222,29 +222,29 @@
 	all := slices.Concat(a, b)
 	slices.Sort(all)
 	all = slices.Compact(all)
-	return all[:min(mostAttempts, len(all))]
+	return all[:min(maxAttempts, len(all))]
 }
 
-func compareEnds(a, b Crash) int {
+func compareCrashes(a, b Crash) int {
 	return cmp.Or(cmp.Compare(a.Order, b.Order), cmp.Compare(a.Incarnation.ID, b.Incarnation.ID), cmp.Compare(a.Incarnation.StartUnixMs, b.Incarnation.StartUnixMs))
 }
 
 // uncleared returns the number of crashes that are not cleared, doubtful ones included.
-func (c *Record) endsLeft() int {
+func (r *Record) uncleared() int {
 	n := 0
-	for _, e := range c.Crashes {
-		if !e.Cleared {
+	for _, crash := range r.Crashes {
+		if !crash.Cleared {
 			n++
 		}
 	}
 	return n
 }
 
-func (c *Record) lastEnd() time.Time {
+func (r *Record) lastCrash() time.Time {
 	at := time.Time{}
-	for _, e := range c.Crashes {
-		if e.At.After(at) {
-			at = e.At
+	for _, crash := range r.Crashes {
+		if crash.At.After(at) {
+			at = crash.At
 		}
 	}
 	return at
@@ -252,23 +252,23 @@
 
 // reassess updates the assessment of a record that has changed, and of all records that share an
 // incarnation with it.
-func (m *Machine) judge(c *Record) {
-	beside := map[protocol.Fingerprint]bool{c.Fingerprint: true}
-	for _, e := range c.Crashes {
-		maps.Copy(beside, m.byLife[e.Incarnation])
+func (m *Machine) reassess(r *Record) {
+	affected := map[protocol.Fingerprint]bool{r.Fingerprint: true}
+	for _, crash := range r.Crashes {
+		maps.Copy(affected, m.byIncarnation[crash.Incarnation])
 	}
-	for print := range beside {
-		m.judgeOne(print)
+	for print := range affected {
+		m.reassessOne(print)
 	}
 }
 
-func (m *Machine) judgeOne(print protocol.Fingerprint) {
-	s := m.standing(m.cases[print])
-	if s.Held() != m.held[print].Held() {
-		m.turned[print] = true
+func (m *Machine) reassessOne(print protocol.Fingerprint) {
+	a := m.assess(m.records[print])
+	if a.Held() != m.held[print].Held() {
+		m.changed[print] = true
 	}
-	if s.Held() {
-		m.held[print] = s
+	if a.Held() {
+		m.held[print] = a
 	} else {
 		delete(m.held, print)
 	}
@@ -276,49 +276,49 @@
 
 // Expire removes records without activity for longer than Retention.
 func (m *Machine) Expire(now time.Time) {
-	for print, c := range m.cases {
-		if now.Sub(c.last()) > Retention {
-			m.forget(print)
+	for print, r := range m.records {
+		if now.Sub(r.lastActivity()) > Retention {
+			m.remove(print)
 		}
 	}
 }
 
-func (m *Machine) forget(print protocol.Fingerprint) {
-	m.unindex(m.cases[print])
-	delete(m.cases, print)
-	delete(m.news, print)
+func (m *Machine) remove(print protocol.Fingerprint) {
+	m.unindex(m.records[print])
+	delete(m.records, print)
+	delete(m.pending, print)
 	if m.held[print].Held() {
-		m.turned[print] = true
+		m.changed[print] = true
 		delete(m.held, print)
 	}
 }
 
 // enforceLimit removes the lowest-ranked records when there are more than maxRecords. It removes an
 // eighth at once, so that during a flood the records are not sorted for every request.
-func (m *Machine) bound() {
-	if len(m.cases) <= mostCases {
+func (m *Machine) enforceLimit() {
+	if len(m.records) <= maxRecords {
 		return
 	}
-	for _, c := range m.byWorth()[mostCases*7/8:] {
-		m.forget(c.Fingerprint)
+	for _, r := range m.ranked()[maxRecords*7/8:] {
+		m.remove(r.Fingerprint)
 	}
 }
 
 // ranked returns all records: first those of requests that are held back, then by the number of
 // uncleared crashes, then by latest activity.
-func (m *Machine) byWorth() []*Record {
-	list := make([]*Record, 0, len(m.cases))
-	for _, c := range m.cases {
-		list = append(list, c)
-	}
-	rank := func(c *Record) int {
-		if m.held[c.Fingerprint].Held() {
-			return mostEnds + 1
+func (m *Machine) ranked() []*Record {
+	list := make([]*Record, 0, len(m.records))
+	for _, r := range m.records {
+		list = append(list, r)
+	}
+	rank := func(r *Record) int {
+		if m.held[r.Fingerprint].Held() {
+			return maxCrashes + 1
 		}
-		return c.endsLeft()
+		return r.uncleared()
 	}
 	slices.SortFunc(list, func(a, b *Record) int {
-		return cmp.Or(cmp.Compare(rank(b), rank(a)), b.last().Compare(a.last()), bytes.Compare(a.Fingerprint[:], b.Fingerprint[:]))
+		return cmp.Or(cmp.Compare(rank(b), rank(a)), b.lastActivity().Compare(a.lastActivity()), bytes.Compare(a.Fingerprint[:], b.Fingerprint[:]))
 	})
 	return list
 }
@@ -326,33 +326,33 @@
 // TakePending returns records that other daemons may lack, at most MaxPerMessage, and marks them as
 // sent. more reports whether further ones are pending.
 func (m *Machine) TakePending() (list []Record, more bool) {
-	for print := range m.news {
+	for print := range m.pending {
 		if len(list) == MaxPerMessage {
 			return list, true
 		}
-		list = append(list, m.cases[print].clone())
-		delete(m.news, print)
+		list = append(list, m.records[print].clone())
+		delete(m.pending, print)
 	}
 	return list, false
 }
 
 // HasPending reports whether TakePending would return a record.
-func (m *Machine) HasPending() bool { return len(m.news) > 0 }
+func (m *Machine) HasPending() bool { return len(m.pending) > 0 }
 
 // TakeChanged returns the requests that were held back or released since the last call.
 func (m *Machine) TakeChanged() []Assessment {
 	var list []Assessment
-	for print := range m.turned {
-		s, held := m.held[print]
+	for print := range m.changed {
+		a, held := m.held[print]
 		if !held {
-			s.Record.Fingerprint = print
-			if c := m.cases[print]; c != nil {
-				s.Record = c.clone()
+			a.Record.Fingerprint = print
+			if r := m.records[print]; r != nil {
+				a.Record = r.clone()
 			}
 		}
-		list = append(list, s)
+		list = append(list, a)
 	}
-	clear(m.turned)
+	clear(m.changed)
 	return list
 }
 
@@ -362,24 +362,24 @@
 }
 
 // Len returns the number of records.
-func (m *Machine) Len() int { return len(m.cases) }
+func (m *Machine) Len() int { return len(m.records) }
 
 // Lookup returns the record of a request, if there is one.
 func (m *Machine) Lookup(print protocol.Fingerprint) (Record, bool) {
-	c := m.cases[print]
-	if c == nil {
+	r := m.records[print]
+	if r == nil {
 		return Record{}, false
 	}
-	return c.clone(), true
+	return r.clone(), true
 }
 
 // Top returns the highest-ranked records, at most MaxPerMessage, for example for a daemon that has
 // just started.
 func (m *Machine) Top() []Record {
-	list := m.byWorth()
+	list := m.ranked()
 	out := make([]Record, 0, min(MaxPerMessage, len(list)))
-	for _, c := range list[:min(MaxPerMessage, len(list))] {
-		out = append(out, c.clone())
+	for _, r := range list[:min(MaxPerMessage, len(list))] {
+		out = append(out, r.clone())
 	}
 	return out
 }
@@ -388,47 +388,47 @@
 // are left out because each daemon keeps them by its own clock.
 func (m *Machine) Digest() uint64 {
 	var digest uint64
-	for _, c := range m.cases {
-		digest += c.digest()
+	for _, r := range m.records {
+		digest += r.digest()
 	}
 	return digest
 }
 
 // DigestOf returns the checksum of a list of records, computed as in Machine.Digest.
-func DigestOf(cases []Record) uint64 {
+func DigestOf(records []Record) uint64 {
 	var digest uint64
-	for i := range cases {
-		digest += cases[i].digest()
+	for i := range records {
+		digest += records[i].digest()
 	}
 	return digest
 }
 
-func (c *Record) digest() uint64 {
-	digest := xxhash.Sum64(c.Fingerprint[:]) * uint64(2*c.Probes+1)
-	digest += xxhash.Sum64(c.Fingerprint[8:]) * uint64(c.Returned+c.LastReturned<<16)
-	for _, e := range c.Crashes {
-		digest += endDigest(c.Fingerprint, e)
+func (r *Record) digest() uint64 {
+	digest := xxhash.Sum64(r.Fingerprint[:]) * uint64(2*r.Probes+1)
+	digest += xxhash.Sum64(r.Fingerprint[8:]) * uint64(r.Returned+r.LastReturned<<16)
+	for _, crash := range r.Crashes {
+		digest += crashDigest(r.Fingerprint, crash)
 	}
 	return digest
 }
 
-func endDigest(print protocol.Fingerprint, e Crash) uint64 {
+func crashDigest(print protocol.Fingerprint, crash Crash) uint64 {
 	h := xxhash.New()
 	var state [9]byte
-	binary.LittleEndian.PutUint64(state[:], uint64(e.Incarnation.StartUnixMs))
-	if e.Cleared {
+	binary.LittleEndian.PutUint64(state[:], uint64(crash.Incarnation.StartUnixMs))
+	if crash.Cleared {
 		state[8] |= 1
 	}
-	if e.Doubtful {
+	if crash.Doubtful {
 		state[8] |= 2
 	}
-	if e.ServedBefore {
+	if crash.ServedBefore {
 		state[8] |= 4
 	}
-	_, _ = h.Write(print[:])               // never fails
-	_, _ = h.WriteString(e.Incarnation.ID) // never fails
-	_, _ = h.Write(state[:])               // never fails
-	for _, tag := range e.Attempts {
+	_, _ = h.Write(print[:])                   // never fails
+	_, _ = h.WriteString(crash.Incarnation.ID) // never fails
+	_, _ = h.Write(state[:])                   // never fails
+	for _, tag := range crash.Attempts {
 		binary.LittleEndian.PutUint32(state[:], tag)
 		_, _ = h.Write(state[:4]) // never fails
 	}
--- a/coordination/quarantine/types.go
+++ b/coordination/quarantine/types.go
@@ -20,35 +20,35 @@
 
 const (
 	// wholeCrash is the suspicion that a crash adds to a request whose answer had not begun.
-	wholeBlame = 2
+	wholeCrash = 2
 	// partialCrash is the suspicion added where the request is a less likely cause: events of the
 	// answer had arrived, so the endpoint had survived the start of the answer; or the attempt was
 	// sent well before another endpoint crashed during the same request, as happens with a popular
 	// request when several endpoints are lost at once.
-	partBlame = 1
+	partialCrash = 1
 	// maxAttempts bounds the attempts of a request that count for one incarnation. Callers repeat a
 	// request that has found no model loaded, and once the model is loaded their attempts start
 	// together and crash together: three of them at one engine are as much evidence as crashes of
 	// three engines.
-	mostAttempts = 3
+	maxAttempts = 3
 	// holdThreshold is the suspicion from which a request is held back: three whole crashes. Two
 	// may be chance; each further one costs an endpoint with all requests running there.
-	blameHeld = 3 * wholeBlame
+	holdThreshold = 3 * wholeCrash
 	// detectionDelay is how long after a crash it may be detected: an attempt sent within this time
 	// before another crash may be a retry caused by that crash.
-	sameMoment = 250 * time.Millisecond
+	detectionDelay = 250 * time.Millisecond
 	// sameCrashWithin bounds how far apart the clocks of daemons may place one crash. A second
 	// crash of an endpoint within this time is therefore not recognized where incarnations have no
 	// start time.
-	sameEnd = 2 * time.Second
+	sameCrashWithin = 2 * time.Second
 
-	// holdFirst is the time until the first probe. Each probe multiplies the hold by holdGrowth, up
-	// to holdMax. A probe of a request that still crashes endpoints costs one of them with all
+	// firstHold is the time until the first probe. Each probe multiplies the hold by holdGrowth, up
+	// to maxHold. A probe of a request that still crashes endpoints costs one of them with all
 	// requests running there, so there are two probes in the first ten minutes and two an hour
 	// later on.
-	holdFirst  = time.Minute
+	firstHold  = time.Minute
 	holdGrowth = 4
-	holdMost   = 30 * time.Minute
+	maxHold    = 30 * time.Minute
 	// Retention is how long a record is kept after its last activity. It is longer than the longest
 	// hold, so that a hold ends with a probe and not with the removal of the record.
 	Retention = time.Hour
@@ -57,11 +57,11 @@
 	// requests that each crash one endpoint, the records with the lowest suspicion are removed
 	// first, the oldest of them first. Nothing is lost by that, because a request that has crashed
 	// one or two endpoints is sent in any case.
-	mostCases = 2048
+	maxRecords = 2048
 	// maxCrashes bounds the crashes of a record; those with the lowest Order are dropped first.
-	mostEnds = 8
+	maxCrashes = 8
 	// maxSoftware bounds how often a change of the software alone makes a probe due.
-	mostSoftware = 4
+	maxSoftware = 4
 	// MaxPerMessage bounds the records of one message, at some 100 bytes each.
 	MaxPerMessage = 256
 )
@@ -99,7 +99,7 @@
 }
 
 // doubtful reports whether the crash counts only in part.
-func (e Crash) doubtful() bool { return e.Doubtful || e.ServedBefore }
+func (c Crash) doubtful() bool { return c.Doubtful || c.ServedBefore }
 
 // AttemptTag returns the tag of the attempt that a caller has made under a request id.
 func AttemptTag(requestID string) uint32 { return uint32(xxhash.Sum64String(requestID)) }
@@ -107,13 +107,13 @@
 // Same reports whether both are crashes of the same incarnation of an endpoint. Where incarnations
 // of one id carry no start time, crashes further apart than the clocks of daemons belong to
 // different incarnations.
-func (e Crash) Same(other Crash) bool {
-	if !e.Incarnation.Matches(other.Incarnation) {
+func (c Crash) Same(other Crash) bool {
+	if !c.Incarnation.Matches(other.Incarnation) {
 		return false
 	}
-	told := e.Incarnation.StartUnixMs != 0 && other.Incarnation.StartUnixMs != 0
-	apart := e.Order - other.Order
-	return told || max(apart, -apart) < sameEnd.Milliseconds()
+	known := c.Incarnation.StartUnixMs != 0 && other.Incarnation.StartUnixMs != 0
+	apart := c.Order - other.Order
+	return known || max(apart, -apart) < sameCrashWithin.Milliseconds()
 }
 
 // Record holds the crashes and probes of one suspect request.
@@ -137,56 +137,56 @@
 }
 
 // Held reports whether the request is held back.
-func (s Assessment) Held() bool { return !s.NextProbe.IsZero() }
+func (a Assessment) Held() bool { return !a.NextProbe.IsZero() }
 
 // ProbedOn reports whether the request has crashed endpoints or was probed on this software, or on
 // so many versions that a new one is no reason for a probe.
-func (s Assessment) ProbedOn(on Software) bool {
-	return len(s.Record.Software) >= mostSoftware || slices.Contains(s.Record.Software, on)
+func (a Assessment) ProbedOn(on Software) bool {
+	return len(a.Record.Software) >= maxSoftware || slices.Contains(a.Record.Software, on)
 }
 
 // ProbeDue reports whether a probe may be sent.
-func (s Assessment) ProbeDue(now time.Time, on Software) bool {
-	return s.Held() && (!now.Before(s.NextProbe) || !s.ProbedOn(on))
+func (a Assessment) ProbeDue(now time.Time, on Software) bool {
+	return a.Held() && (!now.Before(a.NextProbe) || !a.ProbedOn(on))
 }
 
 // CrashedEndpoints returns the ids of the endpoints whose crashes are not cleared, for logs.
-func (s Assessment) CrashedEndpoints() []string {
+func (a Assessment) CrashedEndpoints() []string {
 	var list []string
-	for _, e := range s.Record.Crashes {
-		if !e.Cleared {
-			list = append(list, e.Incarnation.ID)
+	for _, crash := range a.Record.Crashes {
+		if !crash.Cleared {
+			list = append(list, crash.Incarnation.ID)
 		}
 	}
 	return list
 }
 
 // LastActivity returns the time of the latest crash or probe.
-func (s Assessment) LastActivity() time.Time { return s.Record.last() }
+func (a Assessment) LastActivity() time.Time { return a.Record.lastActivity() }
 
 // nextProbe returns when the next probe of a request that is held back is due.
-func (c *Record) due() time.Time {
-	reopened := c.Probes > 0 && c.LastReturned == c.Probes
-	if reopened && !c.lastEnd().After(c.ProbedAt) {
-		return c.ProbedAt
+func (r *Record) nextProbe() time.Time {
+	returned := r.Probes > 0 && r.LastReturned == r.Probes
+	if returned && !r.lastCrash().After(r.ProbedAt) {
+		return r.ProbedAt
 	}
-	return c.last().Add(holdFor(c.Probes - c.Returned))
+	return r.lastActivity().Add(holdTime(r.Probes - r.Returned))
 }
 
 // lastActivity returns the time of the latest crash or probe.
-func (c *Record) last() time.Time {
-	if end := c.lastEnd(); end.After(c.ProbedAt) {
-		return end
+func (r *Record) lastActivity() time.Time {
+	if crash := r.lastCrash(); crash.After(r.ProbedAt) {
+		return crash
 	}
-	return c.ProbedAt
+	return r.ProbedAt
 }
 
 // wholeCrashes returns the number of whole crashes that are not cleared, regardless of other
 // requests that ran at the endpoints.
-func (c *Record) wholeEnds() int {
+func (r *Record) wholeCrashes() int {
 	n := 0
-	for _, e := range c.Crashes {
-		if !e.Cleared && !e.doubtful() {
+	for _, crash := range r.Crashes {
+		if !crash.Cleared && !crash.doubtful() {
 			n++
 		}
 	}
@@ -194,8 +194,8 @@
 }
 
 // clone returns a copy whose Crashes and Software can be changed without affecting the original.
-func (c *Record) clone() Record {
-	out := *c
-	out.Crashes, out.Software = slices.Clone(c.Crashes), slices.Clone(c.Software)
+func (r *Record) clone() Record {
+	out := *r
+	out.Crashes, out.Software = slices.Clone(r.Crashes), slices.Clone(r.Software)
 	return out
 }
