--- a/coordination/quota/client.go
+++ b/coordination/quota/client.go
@@ -2,42 +2,42 @@
 
 import "time"
 
-// Verdict is what becomes of a request.
+// Verdict is the decision on a request.
 type Verdict int
 
 // The verdicts.
 const (
 	Admit Verdict = iota
-	// Ask: the owner has to be asked first.
+	// AskOwner: the daemon has to draw from the owner first.
 	AskOwner
 	// Refuse: the subject is over its limits.
 	Refuse
 )
 
 const (
-	// backLeast bounds the time after which a refused caller is to come back, and backMost
-	// does where there is no window.
+	// minRetryAfter is the least time after which a refused caller should retry, and
+	// defaultMaxRetryAfter the greatest where there is no window.
 	backLeast = 100 * time.Millisecond
 	backMost  = 5 * time.Second
-	// fullFor is how long an owner's word is believed that new requests alone are more than
-	// the quota: those that ask it are heard many times within it.
+	// overloadFor is how long a grant that shows new requests alone to exceed the quota stays in
+	// force: daemons that draw receive many grants within it.
 	fullFor = time.Second
-	// informEvery is the least time between two summaries of an owner that a daemon asks for:
-	// it takes as many bytes as the rest of the answer, and what has come since is what the
-	// daemons themselves tell.
+	// summaryEvery is the least time between two summaries that a daemon requests from an owner: a
+	// summary takes as many bytes as the rest of the answer, and the daemons themselves report what
+	// was granted since.
 	informEvery = 500 * time.Millisecond
-	// pastStep is the part of a window for which what was got is remembered as one.
+	// grantStep is the share of a window within which grants of one owner are recorded as one.
 	pastStep = 1.0 / 16
 )
 
-// Client is one daemon's side for all subjects. It is not safe for concurrent use.
+// Client is the side of one daemon that draws, for all subjects. It is not safe for concurrent use.
 type Client struct {
 	self     string
 	backMost time.Duration
 	accounts map[string]*account
 }
 
-// NewClient returns the side of a daemon.
+// NewClient returns the client of a daemon.
 func NewClient(self string, bounds Bounds) *Client {
 	c := &Client{self: self, backMost: bounds.Window, accounts: map[string]*account{}}
 	if c.backMost <= 0 {
@@ -47,34 +47,34 @@
 }
 
 type account struct {
-	paid      float64 // taken out of the bucket already
+	paid      float64 // already taken from the owner's bucket
 	paidUntil time.Time
 	ahead     float64
 	until     time.Time
-	used      float64 // of ahead, since the last draw
-	offered   float64 // since the last draw
+	used      float64 // of the allowance, since the last draw
+	offered   float64 // units since the last draw
 	requests  int
 	askFrom   time.Time
-	roomAt    time.Time // by the owner's last word
-	usedAt    time.Time // when something was offered or granted last
-	spare     float64   // for callers that come back
-	part      float64   // of the rate
-	fullUntil time.Time // until then new requests alone are taken to be too many
-	backlog   float64   // of refused units, at backlogAt
+	roomAt    time.Time // by the owner's latest grant
+	usedAt    time.Time // time of the latest request
+	spare     float64   // for retrying callers, in units a second
+	part      float64   // in units a second
+	fullUntil time.Time // until then new requests alone are expected to exceed the quota
+	backlog   float64   // refused units that are expected back, at backlogAt
 	backlogAt time.Time
-	past      []gotten // within the last window, the oldest first
-	summary   *Summary // the last word of an owner
+	past      []gotten // within the last window, oldest first
+	summary   *Summary // the latest summary of an owner
 	summaryOf string
 	summaryAt time.Time
-	sent      Draw // on its way
+	sent      Draw // the latest draw
 	sentAt    time.Time
 }
 
-// gotten is what an owner has given.
+// received is what an owner has granted.
 type gotten struct {
 	owner string
 	from  time.Time
-	at    time.Time // of the last of it
+	at    time.Time // time of the latest of them
 	units float64
 }
 
@@ -87,21 +87,21 @@
 	return a
 }
 
-// lapse drops paid units that no request has taken within AheadLife.
+// lapse drops paid units that no request has used within AllowanceLifetime.
 func (a *account) lapse(now time.Time) {
 	if now.After(a.paidUntil) {
 		a.paid = 0
 	}
 }
 
-// pay adds units that the owner has taken out of the bucket.
+// pay adds units that the owner has taken from the bucket.
 func (a *account) pay(now time.Time, units float64) {
 	a.lapse(now)
 	a.paid += units
 	a.paidUntil = now.Add(AllowanceLifetime)
 }
 
-// Offer notes that a caller asks for something. It is called once for each request.
+// Offer counts a caller's request. It is called once for each request.
 func (c *Client) Offer(now time.Time, subject string, cost float64) {
 	a := c.account(subject)
 	a.usedAt = now
@@ -109,9 +109,9 @@
 	a.requests++
 }
 
-// Take decides on a request with what this daemon holds. late says that it has missed its
-// latency objective already: while new requests alone are more than the quota, what there is
-// goes to those that can be in time.
+// Take decides on a request from what this daemon holds. late means that the request has already
+// missed its latency objective: while new requests alone exceed the quota, the available units go
+// to requests that can still meet theirs.
 func (c *Client) Take(now time.Time, subject string, cost float64, late bool) Verdict {
 	a := c.account(subject)
 	if late && now.Before(a.fullUntil) {
@@ -137,9 +137,9 @@
 	return AskOwner
 }
 
-// Refused notes a refusal, and returns when its caller is to come back: after those that were
-// refused before it, at the rate at which the quota has room for them. While new requests
-// alone are too many it has none for any: then a window later.
+// AddRefusal counts a refusal, and returns when the caller should retry: after the callers refused
+// before it, at the rate at which the quota has room for them. While new requests alone exceed the
+// quota there is no room for retries, and the caller should retry a window later.
 func (c *Client) AddRefusal(now time.Time, subject string, cost float64) time.Duration {
 	a := c.account(subject)
 	if a.spare <= 0 {
@@ -151,7 +151,7 @@
 	return c.Wait(now, subject)
 }
 
-// Wait returns when a request is let through, after those that were refused before it.
+// Wait returns the time until a request is admitted after the callers that were refused before it.
 func (c *Client) Wait(now time.Time, subject string) time.Duration {
 	a := c.account(subject)
 	if a.spare <= 0 && now.Before(a.fullUntil) {
@@ -164,21 +164,22 @@
 	return max(wait, time.Duration(a.backlogNow(now)/a.spare*float64(time.Second)))
 }
 
-// backlogNow returns the refused units that are still to come back.
+// currentBacklog returns the refused units whose callers have yet to retry.
 func (a *account) backlogNow(now time.Time) float64 {
 	return max(0, a.backlog-a.spare*now.Sub(a.backlogAt).Seconds())
 }
 
-// RoomIn returns the time until there is room for one more request, by the owner's last word.
+// RetryAfter returns the time until there is room for one more request, by the owner's latest
+// grant.
 func (c *Client) RetryAfter(now time.Time, subject string) time.Duration {
 	return max(0, c.account(subject).roomAt.Sub(now))
 }
 
-// Part returns the part of the rate, in units a second, that this daemon may count on, by the
-// owner's last word.
+// RateShare returns the share of the rate, in units a second, that this daemon can count on, by the
+// owner's latest grant.
 func (c *Client) RateShare(subject string) float64 { return c.account(subject).part }
 
-// Forget drops what is known of subjects that nobody has sent for in a long time.
+// Expire removes the state of subjects that have had no requests for longer than idleAfter.
 func (c *Client) Expire(now time.Time) {
 	for subject, a := range c.accounts {
 		if now.Sub(a.usedAt) > idleAfter {
@@ -187,13 +188,13 @@
 	}
 }
 
-// Return takes back what a request was let through with that has not run.
+// Refund gives back the units of a request that was admitted but did not run.
 func (c *Client) Refund(now time.Time, subject string, cost float64) {
 	a := c.account(subject)
 	a.pay(now, cost)
 }
 
-// Begin returns the question to an owner, for requests that wait.
+// BeginDraw returns the draw to send to an owner for the waiting requests.
 func (c *Client) BeginDraw(now time.Time, subject, owner string, l Limits, need float64, waiting int) Draw {
 	a := c.account(subject)
 	d := Draw{Daemon: c.self, Subject: subject, Limits: l, Need: need, Waiting: waiting, Used: a.used, Offered: a.offered, Requests: a.requests}
@@ -205,15 +206,15 @@
 		d.Summary = &told
 	}
 	a.used, a.offered, a.requests, a.sent, a.sentAt = 0, 0, 0, d, now
-	a.ahead = 0 // given back with the question
+	a.ahead = 0 // the draw returns it
 	return d
 }
 
-// Granted takes the answer to the last question.
+// ReceiveGrant processes the answer to the last draw.
 func (c *Client) ReceiveGrant(now time.Time, subject, owner string, g Grant) {
 	a := c.account(subject)
 	a.pay(now, g.Units)
-	a.ahead, a.until = g.Allowance, a.sentAt.Add(AllowanceLifetime) // no later than by the owner's clock
+	a.ahead, a.until = g.Allowance, a.sentAt.Add(AllowanceLifetime) // not later than by the owner's clock
 	a.spare, a.part = g.SpareRate, g.RateShare
 	a.fullUntil = time.Time{}
 	if g.NearLimit && g.SpareRate <= 0 {
@@ -226,7 +227,7 @@
 	c.remember(a, now, owner, g.Units+a.sent.Used)
 }
 
-// remember notes what an owner has given.
+// recordGrant records what an owner has granted.
 func (c *Client) remember(a *account, now time.Time, owner string, units float64) {
 	for len(a.past) > 0 && now.Sub(a.past[0].at) > c.backMost {
 		a.past = a.past[1:]
@@ -239,7 +240,7 @@
 	a.past = append(a.past, gotten{owner, now, now, units})
 }
 
-// elsewhere returns what other owners have given within the window.
+// otherGrants returns what other owners have granted within the window.
 func (a *account) elsewhere(now time.Time, owner string, window time.Duration) []PastGrant {
 	var list []PastGrant
 	for _, p := range a.past {
@@ -250,7 +251,8 @@
 	return list
 }
 
-// Share returns what part of a subject's quota this daemon has got lately.
+// RecentShare returns the share of a subject's sustained rate that this daemon was granted
+// recently.
 func (c *Client) RecentShare(now time.Time, subject string, sustained float64) float64 {
 	sum := 0.0
 	for _, p := range c.account(subject).past {
@@ -261,7 +263,7 @@
 	return min(1, sum/latelyOver.Seconds()/max(sustained, 1))
 }
 
-// Failed takes it that the last question was not answered: what it told is told again.
+// DrawFailed processes the failure of the last draw: the next draw repeats what it reported.
 func (c *Client) DrawFailed(subject string) {
 	a := c.account(subject)
 	a.used += a.sent.Used
--- a/coordination/quota/owner.go
+++ b/coordination/quota/owner.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// Owner keeps the buckets of the subjects that this daemon owns, or is taken to own. It is not
-// safe for concurrent use.
+// Owner keeps the buckets of the subjects that this daemon owns, or that other daemons take it to
+// own. It is not safe for concurrent use.
 //
-// Invariant: what was granted and accounted for never exceeds what the buckets held; what is
-// authorized ahead, over all daemons, is room in the window that nobody else gets.
+// Invariant: grants that have been accounted for never exceed the content of the buckets;
+// allowances of all daemons are reserved room of the window that nobody else gets.
 type Owner struct {
 	self    string
 	bounds  Bounds
@@ -17,56 +17,57 @@
 	buckets map[string]*bucket
 }
 
-// NewOwner returns an owner that has given nothing yet. self names it; its daemon has started
-// at the given time.
+// NewOwner returns an owner that has granted nothing yet. self is its name; its daemon started at
+// the given time.
 func NewOwner(self string, bounds Bounds, started time.Time) *Owner {
 	return &Owner{self: self, bounds: bounds, started: started, buckets: map[string]*bucket{}}
 }
 
 type bucket struct {
 	level    float64
-	at       time.Time // as of which
-	since    time.Time // this daemon has kept it without a pause
-	granted  time.Time // when something was given last
-	informed time.Time // up to when it is known what other owners gave; zero: nobody has said
+	at       time.Time // time of level
+	since    time.Time // start of the time for which this daemon has kept the bucket without interruption
+	granted  time.Time // time of the latest grant
+	informed time.Time // time up to which the grants of other owners are known; zero if no summary has arrived
 	window   window
 	demand   meter // units
 	requests meter
-	calmAt   time.Time // when callers asked for less than the rate last
+	calmAt   time.Time // latest time at which demand was below the rate
 	shares   map[string]*share
-	ahead    float64 // over all daemons
+	ahead    float64 // of all daemons
 	swept    time.Time
-	scarce   map[int]time.Time // by rank: when requests found no room last
+	scarce   map[int]time.Time // by rank: when requests last found no room
 	heads    map[string]head   // by daemon
 }
 
 // head is the first of the requests that wait at a daemon.
 type head struct {
 	rank     int
-	deadline time.Time // when its caller leaves
-	until    time.Time // it asks again by then, or it does not wait any more
+	deadline time.Time // when its caller gives up
+	until    time.Time // it draws again by then, or it no longer waits
 }
 
 func (h head) before(o head) bool {
 	return h.rank < o.rank || h.rank == o.rank && h.deadline.Before(o.deadline)
 }
 
-// headSlack is by how much a daemon may ask later than it was told to.
+// headSlack is how much later than Grant.RetryAfter a daemon may draw again without losing its
+// place.
 const headSlack = 250 * time.Millisecond
 
-// share is one daemon's part.
+// share is the state of one daemon.
 type share struct {
 	demand   meter
 	requests meter
-	ahead    float64 // authorized and not accounted for
+	ahead    float64 // allowance not yet accounted for
 	until    time.Time
-	lapsed   float64   // that has run out and was taken to have been used
-	heard    time.Time // up to when it has told what it got elsewhere
+	lapsed   float64   // expired allowance, counted as used
+	heard    time.Time // time up to which it has reported grants of other owners
 	drawn    time.Time
 }
 
-// Draw answers a daemon. part is this owner's part of the limits: below 1 while daemons are
-// missing who may draw from another owner.
+// Draw answers a daemon's draw. fraction is the share of the limits that this owner may grant:
+// below 1 while daemons are missing that may draw from another owner.
 func (o *Owner) Draw(now time.Time, d Draw, part float64) Grant {
 	l := Limits{Rate: d.Limits.Rate * part, Burst: d.Limits.Burst * part}
 	b := o.bucket(now, d.Subject, o.bounds.depth(l))
@@ -99,7 +100,8 @@
 	return g
 }
 
-// grant decides what a daemon gets. slack is how far all together may exceed the limits.
+// grant decides what a daemon gets. slack is by how much all daemons together may exceed the
+// limits.
 func (o *Owner) grant(now time.Time, b *bucket, s *share, d Draw, l Limits, slack float64) Grant {
 	rate, depth := o.bounds.Sustained(l), o.bounds.depth(l)
 	left := b.window.room(now, o.bounds, l) - b.ahead
@@ -120,9 +122,9 @@
 		return g
 	}
 	surplus := max(0, room) / surplusPer.Seconds()
-	each := (rate + surplus) * mine // a second
+	each := (rate + surplus) * mine // units a second
 	if each*AllowanceLifetime.Seconds() < d.each() {
-		g.Units = b.take(now, d, room, depth) // its part would lapse before it is a request
+		g.Units = b.take(now, d, room, depth) // its share would expire before it amounts to a request
 		return g
 	}
 	g.Units = max(0, min(each*g.NextDrawIn.Seconds(), room))
@@ -130,8 +132,8 @@
 	return g
 }
 
-// roomIn returns the time until the bucket holds one more request like those that wait, rounded up,
-// so that who asks again then finds it.
+// retryAfter returns the time until the bucket holds one more request like those that wait, rounded
+// up, so that a daemon that draws again at that time finds it.
 func (o *Owner) roomIn(now time.Time, b *bucket, d Draw, l Limits, slack float64) time.Duration {
 	depth, rate := o.bounds.depth(l), o.bounds.Sustained(l)
 	missing := min(d.each(), depth) + b.aheadOf(now, d) - (b.level - o.locked(now, b, l, depth, startPart*slack))
@@ -141,7 +143,7 @@
 	return min(roomMost, time.Duration(math.Ceil(missing/rate*1000))*time.Millisecond)
 }
 
-// each returns the mean of the requests that wait.
+// meanCost returns the mean cost of the waiting requests.
 func (d *Draw) each() float64 {
 	if d.Waiting <= 0 {
 		return 0
@@ -161,33 +163,33 @@
 	return b
 }
 
-// ignorant reports whether nobody has said what an owner before this one gave. After a
-// window that does not matter any more.
+// uninformed reports whether the grants of the previous owner are unknown. After a window they no
+// longer matter.
 func (b *bucket) ignorant(now time.Time, window time.Duration) bool {
 	return b.informed.IsZero() && now.Sub(b.since) < window
 }
 
-// locked returns how much of a bucket is kept back by an owner that knows nothing of the one
-// before: it gives a start, and what the rate brings.
+// withheld returns how much of a bucket an owner withholds that lacks its predecessor's state: it
+// grants an initial amount, and what the rate adds.
 //
-// All daemons may have ended together with what they knew, and may do so again and again. An
-// owner that has started within the window therefore has of its start only the part of the
-// window for which it has been there: however often daemons start within a window, all their
-// starts are no more than one.
+// All daemons may have failed together and lost their state, and may do so repeatedly. An owner
+// that has started within the window therefore grants only the share of its initial amount that
+// corresponds to its age within the window: however often daemons start within a window, their
+// initial amounts add up to no more than one.
 func (o *Owner) locked(now time.Time, b *bucket, l Limits, depth, start float64) float64 {
 	if !b.ignorant(now, o.bounds.Window) {
 		return 0
 	}
 	if age := now.Sub(o.started); age < o.bounds.Window {
-		unused := l.Rate * b.since.Sub(o.started).Seconds() // before anybody asked
+		unused := l.Rate * b.since.Sub(o.started).Seconds() // before the first draw
 		young := o.bounds.NewOwnerShare * start / startPart
 		start = min(start, young*age.Seconds()/o.bounds.Window.Seconds()+unused)
 	}
 	return max(0, depth-start)
 }
 
-// inform takes the word of another owner, if that one has given something since this one did,
-// or if this one has begun without a word.
+// applySummary applies the summary of another owner, if that owner has granted something since this
+// one did, or if this one has started without a summary.
 func (o *Owner) inform(now time.Time, b *bucket, d Draw) {
 	if d.Summary == nil || d.Summary.Owner == o.self {
 		return
@@ -199,10 +201,10 @@
 	}
 	if asOf.After(b.granted) {
 		b.level = d.Summary.Level
-		b.at = asOf // what has come since is refilled now
+		b.at = asOf // what the rate has added since is refilled now
 		b.window.clear()
 	} else {
-		b.level = min(b.level, d.Summary.Level) // what this one has given is in its window
+		b.level = min(b.level, d.Summary.Level) // this owner's grants are in its window already
 	}
 	part := o.bounds.Window / summaryParts
 	for i, units := range d.Summary.Used {
@@ -219,8 +221,8 @@
 	b.level = min(b.level, burst)
 }
 
-// outranked reports whether more urgent requests than those of a rank have just found no room:
-// what there is goes to them.
+// outranked reports whether more urgent requests than those of a rank have recently found no room:
+// the available units go to them.
 func (b *bucket) outranked(now time.Time, rank int) bool {
 	for other, at := range b.scarce {
 		if other < rank && now.Sub(at) < scarceFor {
@@ -230,7 +232,7 @@
 	return false
 }
 
-// aheadOf returns the units of the requests that wait at other daemons and come before a draw.
+// unitsBefore returns the units of the requests that wait at other daemons and come before a draw.
 func (b *bucket) aheadOf(now time.Time, d Draw) float64 {
 	if d.Need <= 0 {
 		return 0
@@ -245,11 +247,11 @@
 	return units
 }
 
-// first returns the first of the requests of a draw as one that waits.
+// first returns the most urgent request of a draw as a waiting one.
 func (d *Draw) first(now time.Time) head { return head{rank: d.Rank, deadline: now.Add(d.TimeLeft)} }
 
-// noteHead remembers a request that goes on waiting after a grant. A daemon lets no request ask
-// before one of its own that comes first: that one does not wait any more.
+// noteHead records a request that keeps waiting after a grant. A daemon lets no request draw before
+// a more urgent one of its own, so an earlier recorded one no longer waits.
 func (b *bucket) noteHead(now time.Time, d Draw, g Grant) {
 	first := d.first(now)
 	if d.Need <= 0 || g.Units >= d.Need || b.heads[d.Daemon].before(first) {
@@ -261,14 +263,14 @@
 	}
 }
 
-// spend takes units out of the bucket; below zero they come back.
+// spend takes units from the bucket. A level below zero is refilled at the rate.
 func (b *bucket) spend(now time.Time, units float64) {
 	b.level -= units
 	b.window.add(now, units)
 }
 
-// sweep ends what was authorized ahead and has run out: the window takes it to have been used,
-// until its daemon says otherwise.
+// expireAllowances ends expired allowances: the window counts them as used until their daemon
+// reports otherwise.
 func (b *bucket) sweep(now time.Time) {
 	if now.Sub(b.swept) < AllowanceLifetime/4 {
 		return
@@ -296,7 +298,7 @@
 	return s
 }
 
-// account takes what a daemon tells of the time since its last draw.
+// account applies what a daemon reports about the time since its last draw.
 func (o *Owner) account(now time.Time, b *bucket, s *share, d Draw) {
 	b.spend(now, d.Used)
 	b.window.add(now, -s.lapsed)
@@ -322,9 +324,9 @@
 	}
 }
 
-// spare returns what a rate leaves for callers that come back, in units a second. Those that
-// all come at once, as after a start of all daemons, are gone soon: half of the rate is taken
-// to be left then.
+// spareRate returns what the rate leaves for retrying callers, in units a second. A crowd of
+// callers that all arrive at once, as after a start of all daemons, is over soon: half of the rate
+// is then expected to be left.
 func (b *bucket) spare(now time.Time, rate float64) float64 {
 	left := max(0, rate-b.demand.rate(now))
 	if now.Sub(b.calmAt) < rushFor {
@@ -333,8 +335,9 @@
 	return left
 }
 
-// take takes what waiting requests need: of several as many as there is room for. One that
-// is larger than the burst goes through when the bucket is full, and is paid off afterwards.
+// take takes the units that waiting requests need: as many of several requests as there is room
+// for. A request larger than the burst is admitted when the bucket is full, and is paid off
+// afterwards.
 func (b *bucket) take(now time.Time, d Draw, room, burst float64) float64 {
 	if d.Waiting == 0 || d.Need <= 0 {
 		return 0
@@ -351,7 +354,7 @@
 	return units
 }
 
-// authorize returns what a daemon may use ahead, of at most most over all daemons.
+// grantAllowance returns the allowance of a daemon. limit bounds the allowances of all daemons.
 func (b *bucket) authorize(now time.Time, s *share, most float64) float64 {
 	requests := s.requests.rate(now)
 	if requests <= 0 {
@@ -367,8 +370,8 @@
 	return wanted
 }
 
-// pace returns the time between two draws of a daemon from which on the owner gets no more
-// of them than it can answer; zero where each request may have its own.
+// pace returns the time between two draws of a daemon that keeps the owner's load within maxDraws;
+// zero where each request may have its own draw.
 func (b *bucket) pace(now time.Time) time.Duration {
 	if b.requests.rate(now) <= asksMost {
 		return 0
@@ -376,7 +379,7 @@
 	return min(paceMost, time.Duration(len(b.shares))*time.Second/asksMost)
 }
 
-// totalDemand is the demand of all daemons, averaged as each one's is.
+// totalDemand returns the demand of all daemons, averaged as that of each one.
 func (b *bucket) totalDemand(now time.Time) float64 {
 	sum := 0.0
 	for _, s := range b.shares {
@@ -385,7 +388,7 @@
 	return sum
 }
 
-// shareOf returns a daemon's part of the demand.
+// shareOf returns a daemon's share of the demand.
 func (b *bucket) shareOf(now time.Time, s *share) float64 {
 	total := b.totalDemand(now)
 	if total <= 0 {
@@ -394,17 +397,17 @@
 	return s.demand.rate(now) / total
 }
 
-// View is how a bucket stands, for people.
+// View is the state of a bucket, for display to operators.
 type View struct {
 	Level     float64 `json:"level"`
-	Demand    float64 `json:"demand"`    // units a second that callers ask for at all daemons
-	Window    float64 `json:"in_window"` // units that went through in the present window
-	Allowance float64 `json:"ahead"`     // units that daemons may let through without asking
-	Daemons   int     `json:"daemons"`   // that have drawn lately
-	Informed  bool    `json:"informed"`  // of what an owner before gave
+	Demand    float64 `json:"demand"`    // units a second that callers request at all daemons
+	Window    float64 `json:"in_window"` // units admitted in the current window
+	Allowance float64 `json:"ahead"`     // units that daemons may admit without a draw
+	Daemons   int     `json:"daemons"`   // daemons that have drawn recently
+	Informed  bool    `json:"informed"`  // whether the grants of the previous owner are known
 }
 
-// Forget drops the buckets that nobody has drawn from for long.
+// Expire removes the buckets that nobody has drawn from for longer than idleAfter.
 func (o *Owner) Expire(now time.Time) {
 	for subject, b := range o.buckets {
 		if now.Sub(b.at) > idleAfter {
@@ -413,7 +416,7 @@
 	}
 }
 
-// View returns how a subject's bucket stands, if there is one here.
+// View returns the state of a subject's bucket, if there is one here.
 func (o *Owner) View(now time.Time, subject string) (View, bool) {
 	b := o.buckets[subject]
 	if b == nil {
--- a/coordination/quota/quota_test.go
+++ b/coordination/quota/quota_test.go
@@ -12,7 +12,7 @@
 	return start.Add(time.Duration(seconds * float64(time.Second)))
 }
 
-// longAgo is when daemons have started of which it does not matter.
+// longAgo is the start of daemons whose age does not matter.
 var longAgo = start.Add(-time.Hour)
 
 var (
@@ -20,13 +20,12 @@
 	limits = Limits{Rate: 1000, Burst: 1000}
 )
 
-// draw is a question of a daemon for one request.
+// draw returns a daemon's draw for one request.
 func draw(daemon string, units float64) Draw {
 	return Draw{Daemon: daemon, Subject: "w", Limits: limits, Need: units, Waiting: 1, Offered: units, Requests: 1}
 }
 
-// drain lets daemons ask for requests of 100 units until one is refused, and returns what
-// they got.
+// drain draws for requests of 100 units until one is refused, and returns the units granted.
 func drain(o *Owner, now time.Time, daemon string) float64 {
 	got := 0.0
 	for range 1000 {
@@ -43,34 +42,35 @@
 	o := NewOwner("a", bounds, longAgo)
 	o.Draw(at(0), draw("d", 1), 1)
 	if got := drain(o, at(10), "d"); got < 500 || got > 1000 {
-		t.Errorf("%.0f at once", got)
+		t.Errorf("%.0f units granted at once", got)
 	}
 	sum := 0.0
 	for i := range 800 {
 		sum += o.Draw(at(10+float64(i)/100), draw(fmt.Sprint(i%5), 100), 1).Units
 	}
 	if sum < 7600 || sum > 8000+1000+bounds.over(limits) {
-		t.Errorf("%.0f in the window after it", sum)
+		t.Errorf("%.0f units granted in the window after it", sum)
 	}
 }
 
-// One that is larger than the burst is not refused for ever: it goes through when the bucket
-// is full, and is paid off before the next.
+// Guards against a request larger than the burst that is refused for ever: it is admitted when the
+// bucket is full, and is paid off before the next.
 func TestRequestLargerThanTheBurst(t *testing.T) {
 	o := NewOwner("a", bounds, longAgo)
 	o.Draw(at(0), draw("d", 1), 1)
 	if got := o.Draw(at(20), draw("d", 3000), 1).Units; got != 3000 {
-		t.Fatalf("%.0f", got)
+		t.Fatalf("%.0f units granted, want 3000", got)
 	}
 	if got := o.Draw(at(20.5), draw("d", 100), 1).Units; got != 0 {
-		t.Errorf("%.0f before it was paid off", got)
+		t.Errorf("%.0f units granted before it was paid off", got)
 	}
 	if got := o.Draw(at(24), draw("d", 100), 1).Units; got != 100 {
-		t.Errorf("%.0f afterwards", got)
+		t.Errorf("%.0f units granted afterwards, want 100", got)
 	}
 }
 
-// The second owner of a workspace takes over from the first, which had given all that there was.
+// Guards against a second owner that grants again what the first, whose bucket is empty, has
+// granted already.
 func TestNextOwnerGoesOnFromTheSummary(t *testing.T) {
 	first := NewOwner("a", bounds, longAgo)
 	ask := draw("d", 100)
@@ -79,7 +79,7 @@
 	drain(first, at(10), "d")
 	g := first.Draw(at(10), ask, 1)
 	if g.Summary == nil {
-		t.Fatal("no summary")
+		t.Fatal("the grant has no summary")
 	}
 	for _, c := range []struct {
 		name    string
@@ -89,15 +89,15 @@
 		least   float64
 		most    float64
 	}{
-		{"without a word it gives a part of the slack", func(*Draw) {}, 10.2, false, 1, startPart * bounds.over(limits)},
-		{"by the summary there is nothing to give", func(d *Draw) {
+		{"without a summary it grants a share of the slack", func(*Draw) {}, 10.2, false, 1, startPart * bounds.over(limits)},
+		{"by the summary there is nothing to grant", func(d *Draw) {
 			d.Summary = &Summary{Owner: "a", Age: 200 * time.Millisecond, Level: g.Summary.Level, Used: g.Summary.Used}
 		}, 10.2, true, 0, 400},
-		{"what came since the summary counts", func(d *Draw) {
+		{"grants since the summary count", func(d *Draw) {
 			d.Summary = &Summary{Owner: "a", Age: time.Second, Level: 900, Used: []float64{100}}
 			d.OtherGrants = []PastGrant{{Owner: "a", Age: 500 * time.Millisecond, Units: 700}}
 		}, 10.2, true, 0, 500},
-		{"its own word tells it nothing", func(d *Draw) { d.Summary = &Summary{Owner: "b", Age: 0, Level: 900} }, 10.2, false, 1, startPart * bounds.over(limits)},
+		{"its own summary is ignored", func(d *Draw) { d.Summary = &Summary{Owner: "b", Age: 0, Level: 900} }, 10.2, false, 1, startPart * bounds.over(limits)},
 	} {
 		next := NewOwner("b", bounds, longAgo)
 		d := draw("d", 1)
@@ -105,12 +105,13 @@
 		next.Draw(at(c.at), d, 1)
 		v, _ := next.View(at(c.at), "w")
 		if got := drain(next, at(c.at), "d"); got < c.least-1 || got > c.most || v.Informed != c.informs {
-			t.Errorf("%s: %.0f, informed %v", c.name, got, v.Informed)
+			t.Errorf("%s: %.0f units granted, informed %v", c.name, got, v.Informed)
 		}
 	}
 }
 
-// A daemon tells what it got elsewhere with each question; it counts once.
+// Guards against grants of other owners that count more than once: a daemon reports them with each
+// draw.
 func TestElsewhereCountsOnce(t *testing.T) {
 	o := NewOwner("a", bounds, longAgo)
 	o.Draw(at(0), draw("d", 1), 1)
@@ -120,12 +121,12 @@
 		o.Draw(at(11+float64(i)/10), d, 1)
 	}
 	if v, _ := o.View(at(11.4), "w"); v.Window < 300 || v.Window > 310 {
-		t.Errorf("%.0f in the window: want 300 from elsewhere", v.Window)
+		t.Errorf("%.0f units in the window, want 300 from other owners", v.Window)
 	}
 }
 
-// What is authorized ahead is nobody else's; what runs out counts as used until its daemon
-// says that it was not.
+// Guards against allowances that are granted twice: while valid they are reserved for their daemon,
+// and expired ones count as used until the daemon reports otherwise.
 func TestAheadIsAccountedFor(t *testing.T) {
 	o, c := NewOwner("a", bounds, longAgo), NewClient("d", bounds)
 	now, ahead := at(20), 0.0
@@ -140,24 +141,24 @@
 		}
 	}
 	if ahead < 20 {
-		t.Fatalf("%.0f authorized for a daemon that sends 5 requests a second", ahead)
+		t.Fatalf("allowance of %.0f units for a daemon that sends 5 requests a second", ahead)
 	}
 	if c.Take(now, "w", 20, false) != Admit {
-		t.Error("what was authorized is not let through")
+		t.Error("a request within the allowance was not admitted")
 	}
 	before, _ := o.View(now, "w")
 	later := now.Add(AllowanceLifetime + 2*time.Second)
 	if c.Take(later, "w", 1, false) != AskOwner {
-		t.Error("what has run out is let through")
+		t.Error("an expired allowance was used")
 	}
 	o.Draw(later, draw("other", 1), 1)
 	if v, _ := o.View(later, "w"); v.Allowance >= before.Allowance {
-		t.Errorf("%.0f is still authorized", v.Allowance)
+		t.Errorf("allowances of %.0f units are still valid", v.Allowance)
 	}
 }
 
-// Callers that are refused come back one after the other, at the rate that is spare, or a
-// window later where new requests alone are too many.
+// Guards against refused callers that all retry at once: they retry one after the other at the
+// spare rate, or a window later where new requests alone exceed the quota.
 func TestRefusedCallersDoNotRush(t *testing.T) {
 	c := NewClient("d", bounds)
 	c.BeginDraw(at(0), "w", "a", limits, 100, 1)
@@ -166,19 +167,19 @@
 	for i := range 5 {
 		after := c.AddRefusal(at(0), "w", 100)
 		if want := time.Duration(i+1) * time.Second; after != want || after <= last {
-			t.Errorf("caller %d is told %v, want %v", i, after, want)
+			t.Errorf("caller %d should retry after %v, want %v", i, after, want)
 		}
 		last = after
 	}
 	c.BeginDraw(at(1), "w", "a", limits, 100, 1)
 	c.ReceiveGrant(at(1), "w", "a", Grant{NearLimit: true})
 	if after := c.AddRefusal(at(1), "w", 100); after != bounds.Window {
-		t.Errorf("told %v while there is no room at all", after)
+		t.Errorf("retry after %v while there is no room at all, want a window", after)
 	}
 }
 
-// Callers that all come at once are told to come back soon, those of a workspace that goes on
-// sending more than its rate a window later.
+// Guards against a short rush that is taken for lasting overload: callers that all arrive at once
+// are told to retry soon, those of a workspace that keeps exceeding its rate a window later.
 func TestRushIsNotTakenToLast(t *testing.T) {
 	o, c := NewOwner("a", bounds, longAgo), NewClient("d", bounds)
 	refused := func(seconds float64) (longest time.Duration) {
@@ -194,18 +195,19 @@
 		return longest
 	}
 	if longest := refused(0); longest <= 0 || longest > 7*time.Second {
-		t.Errorf("of 4,000 units at once, with 1,000 a second, one is told to come back in %v", longest)
+		t.Errorf("with 4,000 units at once and a rate of 1,000 a second, the longest retry time is %v", longest)
 	}
 	for i := range 40 {
 		refused(0.1 + float64(i)/10)
 	}
 	if longest := refused(4.2); longest != bounds.Window {
-		t.Errorf("after four seconds at many times the rate one is told %v", longest)
+		t.Errorf("after four seconds at many times the rate, the longest retry time is %v, want a window", longest)
 	}
 }
 
-// While new requests alone are more than the quota, one that is late already is refused though
-// something is at hand; otherwise it is as good as any.
+// Guards against late requests that take units from requests which can still be in time: while new
+// requests alone exceed the quota the late ones are refused although units are available; otherwise
+// they are equal.
 func TestWhatCanBeInTimeGoesFirst(t *testing.T) {
 	c := NewClient("d", bounds)
 	granted := func(seconds float64, g Grant) {
@@ -214,19 +216,20 @@
 	}
 	granted(0, Grant{Units: 500, NearLimit: true})
 	if late, fresh := c.Take(at(0.1), "w", 100, true), c.Take(at(0.1), "w", 100, false); late != Refuse || fresh != Admit {
-		t.Errorf("over the quota: late %v, in time %v", late, fresh)
+		t.Errorf("over the quota: verdict %v for a late request, %v for one in time", late, fresh)
 	}
 	granted(0.2, Grant{Units: 500, NearLimit: true, SpareRate: 10})
 	if late := c.Take(at(0.3), "w", 100, true); late != Admit {
-		t.Errorf("with something to spare: %v", late)
+		t.Errorf("with a spare rate: verdict %v for a late request", late)
 	}
 	granted(0.4, Grant{Units: 500, NearLimit: true})
 	if late := c.Take(at(2), "w", 100, true); late != Admit {
-		t.Errorf("long after the owner's word: %v", late)
+		t.Errorf("long after the owner's grant: verdict %v for a late request", late)
 	}
 }
 
-// A daemon that asks for so many requests that its owner could not answer each one is paced.
+// Guards against an owner that receives more draws than it can answer: daemons with many requests
+// are paced.
 func TestManyDaemonsArePaced(t *testing.T) {
 	o := NewOwner("a", bounds, longAgo)
 	paced := 0
@@ -237,7 +240,7 @@
 		}
 	}
 	if paced < 2000 {
-		t.Errorf("%d of 4000 answers in 4 s pace their daemon", paced)
+		t.Errorf("%d of 4000 grants in 4 s pace their daemon", paced)
 	}
 }
 
@@ -268,9 +271,9 @@
 	}
 }
 
-// Guards against a request that overtakes one which waits at another daemon: what there is room for
-// goes to the more urgent, then to the one whose caller leaves first. One that does not ask again
-// when it was told to holds nobody back.
+// Guards against a request that overtakes one waiting at another daemon: room goes to the more
+// urgent request, then to the one whose caller gives up first. A request that does not draw again
+// in time delays nobody.
 func TestWaitingRequestsGoInOrderOverAllDaemons(t *testing.T) {
 	one := Bounds{Window: 4 * time.Second, Overage: 0.5, Slack: 5, DepthShare: 0.2}
 	asks := func(daemon string, rank int, left time.Duration, waits bool) Draw {
@@ -282,30 +285,31 @@
 	}
 	g := o.Draw(now, asks("a", 1, 5*time.Second, true), 1)
 	if g.Units > 0 || g.RetryAfter <= 0 || g.RetryAfter > time.Second {
-		t.Fatalf("the first that waits: %+v", g)
+		t.Fatalf("the first waiting request: %+v", g)
 	}
 	if later := o.Draw(now, asks("b", 1, 9*time.Second, true), 1); later.Units > 0 || later.RetryAfter < g.RetryAfter+900*time.Millisecond {
-		t.Errorf("one that comes after it: %+v, room for the first in %v", later, g.RetryAfter)
+		t.Errorf("a waiting request that comes after the first: %+v, room for the first in %v", later, g.RetryAfter)
 	}
 	now = now.Add(g.RetryAfter)
 	if g := o.Draw(now, asks("c", 1, 15*time.Second, false), 1); g.Units > 0 {
-		t.Error("a new one overtakes those that wait")
+		t.Error("a new request overtakes the waiting ones")
 	}
 	if g := o.Draw(now, asks("a", 1, 3*time.Second, true), 1); g.Units < 1 {
-		t.Errorf("the first has its turn: %+v", g)
+		t.Errorf("the first waiting request is not admitted in its turn: %+v", g)
 	}
-	// b does not ask again: its place is over a little after the time that it was told.
+	// b does not draw again: its place expires shortly after the time at which it should have
+	// drawn.
 	now = now.Add(2*time.Second + headSlack)
 	if g := o.Draw(now, asks("c", 1, 15*time.Second, false), 1); g.Units < 1 {
-		t.Errorf("held back for one that does not ask any more: %+v", g)
+		t.Errorf("a request is delayed by one that no longer draws: %+v", g)
 	}
 	now = now.Add(100 * time.Millisecond)
 	for o.Draw(now, asks("z", 1, time.Minute, false), 1).Units > 0 {
 	}
 	o.Draw(now, asks("b", 1, 2*time.Second, true), 1)
-	o.Draw(now, Draw{Daemon: "b", Subject: "e", Limits: Limits{Rate: 1}}, 1) // stops waiting
+	o.Draw(now, Draw{Daemon: "b", Subject: "e", Limits: Limits{Rate: 1}}, 1) // its request stops waiting
 	now = now.Add(time.Second)
 	if g := o.Draw(now, asks("c", 1, 15*time.Second, false), 1); g.Units < 1 {
-		t.Errorf("held back for one that has said that it waits no more: %+v", g)
+		t.Errorf("a request is delayed by one whose daemon has reported that it no longer waits: %+v", g)
 	}
 }
--- a/coordination/quota/types.go
+++ b/coordination/quota/types.go
@@ -1,12 +1,12 @@
-// Package quota shares a rate out that only all daemons together can keep: what a workspace
-// may send, or what an endpoint takes. One daemon, the owner of that subject, keeps its token
-// bucket; the others draw from it for the requests that they get, or are authorized ahead for
-// those that will follow. Both sides are state machines without I/O: what was asked and the time
-// go in, grants and decisions come out.
+// Package quota shares a rate out that only all daemons together can keep: what a workspace may
+// send, or what an endpoint accepts. One daemon, the owner of the subject, keeps its token bucket.
+// The others draw from it for the requests that they receive, or get an allowance in advance for
+// requests to come. Owner and Client are state machines without I/O: callers pass draws, grants and
+// the time, and carry out the decisions that they return.
 //
-// What all daemons let through in a window stays within the limits and the slack that was
-// agreed on, whoever fails: what is authorized ahead is room that nobody else gets, and what an
-// owner gives that knows nothing of the one before is a part of the slack.
+// In each window all daemons together stay within the limits plus the agreed slack, whichever of
+// them fail: allowances are reserved and granted to nobody else, and what a new owner grants
+// without the state of its predecessor is part of the slack.
 package quota
 
 import (
@@ -16,33 +16,33 @@
 
 // Limits are the bounds of one subject, in requests or tokens.
 type Limits struct {
-	Rate  float64 // a second
+	Rate  float64 // units a second
 	Burst float64
 }
 
-// Bounds say how far all daemons together may be over: in each window, a part of what the
-// limits allow in it, and a fixed number of units.
+// Bounds define by how much all daemons together may exceed the limits in each window: by a share
+// of what the limits allow in it (Overage) plus a fixed number of units (Slack).
 type Bounds struct {
 	Window  time.Duration
 	Overage float64
 	Slack   float64
-	// Depth is the part of what may be over that a bucket holds beside the burst, for
-	// subjects whose limits have none.
+	// DepthShare is the share of the permitted excess that a bucket holds in addition to the burst,
+	// for subjects whose limits have no burst.
 	DepthShare float64
-	// Young is the part of what may be over that all owners together give who have started
-	// within one window, before they are told what went through.
+	// NewOwnerShare is the share of the permitted excess that all owners started within one window
+	// may grant together before they learn what their predecessors granted.
 	NewOwnerShare float64
 }
 
-// perWindow returns what the limits allow in a window.
+// perWindow returns the units that the limits allow in a window.
 func (b Bounds) perWindow(l Limits) float64 { return l.Rate*b.Window.Seconds() + l.Burst }
 
-// sustainedBurst is the part of the burst that is there again in each window, for a workspace
-// that goes on sending more than its rate. The rest of what a window allows is kept for what
-// daemons that are cut off let through beside it.
+// sustainedBurst is the share of the burst that becomes available again in each window, for a
+// workspace that keeps sending more than its rate. The rest of what a window allows is reserved for
+// what partitioned daemons admit in addition.
 const sustainedBurst = 0.5
 
-// Sustained returns the rate at which a workspace may go on for ever.
+// Sustained returns the rate, in units a second, that a workspace may keep up indefinitely.
 func (b Bounds) Sustained(l Limits) float64 {
 	if b.Window <= 0 {
 		return l.Rate
@@ -50,10 +50,9 @@
 	return l.Rate + sustainedBurst*l.Burst/b.Window.Seconds()
 }
 
-// depth returns what a bucket holds at the most. With a window half of the burst, and a part
-// of the slack, may come at once and the rest as it goes on: an owner that has ended with all
-// that it knew has then let through little more, shortly before, than the one after it takes
-// for granted.
+// depth returns the capacity of a bucket. With a window, half of the burst and a share of the slack
+// are available at once and the rest over time: if an owner fails with all its state, it has then
+// admitted only little more, shortly before, than its successor assumes.
 func (b Bounds) depth(l Limits) float64 {
 	if b.Window <= 0 {
 		return l.Burst
@@ -61,16 +60,16 @@
 	return min(l.Burst, l.Burst/2+startPart*b.over(l)) + b.DepthShare*b.over(l)
 }
 
-// inWindow returns what an owner gives in a window at the most.
+// inWindow returns the most that an owner grants in a window.
 func (b Bounds) inWindow(l Limits) float64 { return b.perWindow(l) + b.DepthShare*b.over(l) }
 
-// over returns the units by which all daemons may exceed the limits in a window.
+// excess returns the units by which all daemons may exceed the limits in a window.
 func (b Bounds) over(l Limits) float64 {
 	return b.Overage*b.perWindow(l) + b.Slack
 }
 
-// AlonePart returns which part of the limits all daemons together may let through beside the
-// owner while they do not reach it: a part of the slack.
+// IsolatedShare returns the share of the limits that all daemons which cannot reach the owner may
+// admit together, beside what the owner grants. It is a share of the slack.
 func (b Bounds) IsolatedShare(l Limits) float64 {
 	if b.Window <= 0 {
 		return 1
@@ -79,127 +78,129 @@
 }
 
 const (
-	// alonePart is the part of the slack for daemons that reach no owner.
+	// isolatedShare is the share of the slack for daemons that cannot reach the owner.
 	alonePart = 0.5
-	// startPart is the part of the slack that a new owner gives before the others have told
-	// it what they got from the one before. The rest is for counts that are a little off.
+	// startShare is the share of the slack that a new owner grants before the other daemons have
+	// reported what they got from its predecessor. The rest covers small errors of the counts.
 	startPart = 0.3
-	// YoungPart is Bounds.Young for subjects with a burst, which a bucket holds already.
+	// DefaultNewOwnerShare is the value of Bounds.NewOwnerShare for subjects with a burst, which a
+	// bucket holds already.
 	DefaultNewOwnerShare = startPart
-	// aheadPart is the part of what a window has room for that may be authorized ahead, over
-	// all daemons. It is room that nobody else gets, so the limits hold whoever uses it.
+	// allowanceShare is the share of a window's free room that all daemons together may hold as
+	// allowances. It is reserved, so the limits hold whoever uses it.
 	aheadPart = 0.35
-	// aheadFor is for how much of a daemon's own demand it is authorized ahead, and AheadLife
-	// how long that is good: what runs out unused counts as used until its daemon is heard.
+	// allowanceFor is the time for which an allowance covers a daemon's own demand, and
+	// AllowanceLifetime how long it is valid. Expired allowances count as used until their daemon
+	// reports what it used.
 	aheadFor          = 4 * time.Second
 	AllowanceLifetime = 5 * time.Second
-	// leastAhead is the number of average requests from which ahead is worth a word: a
-	// part of a request lets none through.
+	// minAllowance is the number of average requests from which an allowance is worth granting: a
+	// fraction of a request admits none.
 	leastAhead = 1
-	// tightDemand is the demand, as a part of the rate, from which nothing is authorized
-	// ahead any more, and tightLevel the level, as a part of the depth, from which draws are
-	// paced.
+	// tightDemand is the demand, as a share of the rate, from which no allowances are granted, and
+	// tightLevel the level, as a share of the depth, from which draws are paced.
 	tightDemand = 0.75
 	tightLevel  = 0.4
-	// asksMost is the number of draws a second that an owner is to get for a subject
-	// which is over its limit: a call costs both daemons processor time, and what is refused
-	// needs no answer of its own. Beyond it daemons draw for a time ahead.
+	// maxDraws is the number of draws a second that an owner should receive for a subject over its
+	// limit: a call costs both daemons processor time, and refused requests need no answer of their
+	// own. Beyond it daemons draw for a period in advance.
 	asksMost = 150
-	// paceMost bounds the time between two draws of a daemon.
+	// maxPace bounds the time between two draws of a daemon.
 	paceMost = time.Second
-	// surplusPer is the time in which what the bucket holds beyond its refill is given out
+	// surplusPer is the time over which the content of the bucket beyond its refill is granted
 	// while draws are paced.
 	surplusPer = time.Second
-	// demandOver is the time over which demand is averaged: some draws of each daemon, and
-	// short beside the window.
+	// demandOver is the time over which demand is averaged: long enough for several draws of each
+	// daemon, and short compared with the window.
 	demandOver = time.Second
-	// shareOver is the same for one daemon's demand, which comes in single requests: one
-	// alone is no reason to expect the next.
+	// shareOver is the same for the demand of one daemon, which arrives in single requests: one of
+	// them alone does not mean that more follow.
 	shareOver = 10 * time.Second
-	// latelyOver is the time over which a daemon that reaches no owner adds up what it got.
+	// recentOver is the time over which a daemon that cannot reach an owner sums up its past
+	// grants.
 	latelyOver = 4 * time.Second
-	// rushFor is how long callers may ask for more than the rate before that is taken to
-	// last: those that have waited for daemons to start again come within it.
+	// rushFor is how long demand may exceed the rate before it is expected to last: callers that
+	// have waited for daemons to restart all arrive within it.
 	rushFor = 2 * time.Second
-	// sameTime is how far apart one moment may seem that a daemon tells twice.
+	// sameTime is how far apart the times may be that a daemon reports for one grant in two draws.
 	sameTime = 50 * time.Millisecond
-	// forgetAfter is how long a daemon that does not draw is remembered.
+	// shareExpiry is how long an owner keeps the state of a daemon that does not draw.
 	forgetAfter = 30 * time.Second
-	// scarceFor is how long after a request found no room less urgent ones get none: callers
-	// that go on asking are heard several times in it.
+	// scarceFor is how long less urgent requests are granted nothing after a request found no room.
+	// Callers that keep asking draw several times within it.
 	scarceFor = time.Second
-	// idleAfter is how long a subject that nobody sends for is remembered.
+	// idleAfter is how long the state of a subject without requests is kept.
 	idleAfter = 10 * time.Minute
-	// roomMost bounds the time until there is room, where the rate is next to nothing.
+	// maxRoomWait bounds Grant.RetryAfter where the rate is next to nothing.
 	roomMost = time.Minute
 )
 
-// Draw is a daemon's question to a subject's owner.
+// Draw is a daemon's call to the owner of a subject.
 type Draw struct {
 	Daemon  string
-	Subject string // name of the workspace, or life of the endpoint
+	Subject string // name of the workspace, or incarnation of the endpoint
 	Limits  Limits
 	Need    float64 // units of the requests that wait for the answer
-	Waiting int     // requests that do
-	Rank    int     // of the most urgent of them; 0 is first
-	// Left is the time until the caller of that one leaves, and Waits says that it asks again
-	// until it is let through. Requests that wait are let through in order over all daemons.
+	Waiting int     // requests that wait for the answer
+	Rank    int     // of the most urgent of them; 0 is the most urgent
+	// TimeLeft is the time until the caller of the most urgent request gives up. Queued is set if
+	// that request draws again until it is admitted. Queued requests are admitted in order over all
+	// daemons.
 	TimeLeft time.Duration
 	Queued   bool
-	// Used is what it has let through of what it was authorized ahead, since its last draw.
+	// Used is what the daemon has admitted from its allowance since its last draw.
 	Used float64
-	// Offered and Requests are what callers have asked for since its last draw, those that
-	// wait and those refused included.
+	// Offered and Requests are the units and the number of all requests that callers have sent
+	// since the last draw, including those that wait and those that were refused.
 	Offered  float64
 	Requests int
-	// Elsewhere is what it got from other owners within the window, as far as it has not
-	// told this one, and Summary the last word of another owner; nil if there is none.
+	// OtherGrants are the grants of other owners within the window; the receiver counts each of
+	// them once. Summary is the latest summary of another owner, nil if there is none.
 	OtherGrants []PastGrant
 	Summary     *Summary
-	// Inform asks for the owner's summary.
+	// WantSummary asks for the owner's summary.
 	WantSummary bool
 }
 
-// Summary is how an owner's bucket stands, for the one that follows it.
+// Summary is the state of an owner's bucket, for its successor.
 type Summary struct {
-	Owner string // empty in a grant: the one that grants
+	Owner string // empty in a grant: the owner that grants
 	Age   time.Duration
 	Level float64
-	// Used is what all daemons got within the window, in equal parts of it, the last one
-	// first.
+	// Used is what all daemons got within the window, divided into equal periods, the latest first.
 	Used []float64
 }
 
-// Past is what was got at some time.
+// PastGrant is what a daemon got from an owner at some time.
 type PastGrant struct {
-	Owner string // that gave it
+	Owner string // the owner that granted it
 	Age   time.Duration
 	Units float64
 }
 
-// Grant is the answer.
+// Grant is the answer to a Draw.
 type Grant struct {
-	Units float64 // for the requests that wait; taken out of the bucket
-	// Ahead is what the daemon may let through before it draws again, within AheadLife;
-	// instead of what it was authorized before.
+	Units float64 // for the requests that wait; already taken from the bucket
+	// Allowance is what the daemon may admit before it draws again, within AllowanceLifetime. It
+	// replaces the previous allowance.
 	Allowance float64
-	// Again is the time before which the daemon must not draw again.
+	// NextDrawIn is the time before which the daemon must not draw again.
 	NextDrawIn time.Duration
-	// Over says that the subject is near its limit or over it. Spare is then what this
-	// daemon's part of the rate leaves for callers that come back, in units a second; zero
-	// while new requests alone are too many.
+	// NearLimit is set if the subject is near its limit or over it. SpareRate is then this daemon's
+	// share of the rate that is left for retrying callers, in units a second; zero while new
+	// requests alone exceed the rate.
 	NearLimit bool
 	SpareRate float64
-	// Part is the part of the rate, in units a second, that the daemon may count on by what it
-	// and the others have asked for lately; zero while more urgent requests leave none.
+	// RateShare is the share of the rate, in units a second, that the daemon can count on, by its
+	// own and the other daemons' recent demand; zero while more urgent requests leave none.
 	RateShare float64
-	// RoomIn is the time until there is room for one more request like those that wait, if
+	// RetryAfter is the time until there is room for one more request like the waiting ones, if
 	// nobody else takes it.
 	RetryAfter time.Duration
-	Summary    *Summary // if it was asked for
+	Summary    *Summary // set if the draw asked for it
 }
 
-// meter averages events that come in lumps.
+// meter averages events that arrive in bursts.
 type meter struct {
 	over  time.Duration
 	value float64
@@ -218,5 +219,5 @@
 	return m.value * math.Exp(-now.Sub(m.at).Seconds()/m.over.Seconds())
 }
 
-// rate returns the average a second.
+// rate returns the average per second.
 func (m *meter) rate(now time.Time) float64 { return m.fading(now) / m.over.Seconds() }
--- a/coordination/quota/window.go
+++ b/coordination/quota/window.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// windowSteps is the number of steps in which use is counted over a window: what is more
-// than a window old counts up to a step longer.
+// windowSteps is the number of steps in which usage is counted over a window: usage older than a
+// window may still count for up to one step.
 const windowSteps = 32
 
-// window counts what was used in the last window.
+// window counts the usage within the last window.
 type window struct {
 	step time.Duration
 	used [windowSteps]float64
 	sum  float64
-	at   int64 // number of the newest step
+	at   int64 // number of the latest step
 }
 
 func newWindow(over time.Duration) window { return window{step: over / windowSteps} }
 
 func (w *window) clear() { w.used, w.sum = [windowSteps]float64{}, 0 }
 
-// move drops what is too old.
+// advance moves the window to now and drops older usage.
 func (w *window) move(now time.Time) {
 	at := now.UnixNano() / int64(w.step)
 	if w.at == 0 || at-w.at >= windowSteps {
@@ -33,7 +33,7 @@
 	}
 }
 
-// add counts units that were used at some time, not later than now.
+// add counts units that were used at the given time, which must not be later than now.
 func (w *window) add(at time.Time, units float64) {
 	if w.step <= 0 {
 		return
@@ -43,13 +43,13 @@
 		w.move(at)
 	}
 	if w.at-step >= windowSteps {
-		return // too long ago
+		return // before the window
 	}
 	w.used[step%windowSteps] += units
 	w.sum += units
 }
 
-// room returns what the limits leave in the present window.
+// room returns what the limits leave in the current window.
 func (w *window) room(now time.Time, bounds Bounds, l Limits) float64 {
 	if w.step <= 0 {
 		return l.Burst
@@ -58,10 +58,10 @@
 	return bounds.inWindow(l) - w.sum
 }
 
-// summaryParts is the number of parts in which a window is told.
+// summaryPeriods is the number of periods in which a summary reports the usage of a window.
 const summaryParts = 8
 
-// parts returns what was used, in equal parts of the window, the last one first.
+// periods returns the usage in equal periods of the window, the latest first.
 func (w *window) parts(now time.Time) []float64 {
 	if w.step <= 0 {
 		return nil
