--- a/coordination/quota/client.go
+++ b/coordination/quota/client.go
@@ -17,61 +17,61 @@
 const (
 	// minRetryAfter is the least time after which a refused caller should retry, and
 	// defaultMaxRetryAfter the greatest where there is no window.
-	backLeast = 100 * time.Millisecond
-	backMost  = 5 * time.Second
+	minRetryAfter        = 100 * time.Millisecond
+	defaultMaxRetryAfter = 5 * time.Second
 	// overloadFor is how long a grant that shows new requests alone to exceed the quota stays in
 	// force: daemons that draw receive many grants within it.
-	fullFor = time.Second
+	overloadFor = time.Second
 	// summaryEvery is the least time between two summaries that a daemon requests from an owner: a
 	// summary takes as many bytes as the rest of the answer, and the daemons themselves report what
 	// was granted since.
-	informEvery = 500 * time.Millisecond
+	summaryEvery = 500 * time.Millisecond
 	// grantStep is the share of a window within which grants of one owner are recorded as one.
-	pastStep = 1.0 / 16
+	grantStep = 1.0 / 16
 )
 
 // Client is the side of one daemon that draws, for all subjects. It is not safe for concurrent use.
 type Client struct {
-	self     string
-	backMost time.Duration
-	accounts map[string]*account
+	self          string
+	maxRetryAfter time.Duration
+	accounts      map[string]*account
 }
 
 // NewClient returns the client of a daemon.
 func NewClient(self string, bounds Bounds) *Client {
-	c := &Client{self: self, backMost: bounds.Window, accounts: map[string]*account{}}
-	if c.backMost <= 0 {
-		c.backMost = backMost
+	c := &Client{self: self, maxRetryAfter: bounds.Window, accounts: map[string]*account{}}
+	if c.maxRetryAfter <= 0 {
+		c.maxRetryAfter = defaultMaxRetryAfter
 	}
 	return c
 }
 
 type account struct {
-	paid      float64 // already taken from the owner's bucket
-	paidUntil time.Time
-	ahead     float64
-	until     time.Time
-	used      float64 // of the allowance, since the last draw
-	offered   float64 // units since the last draw
-	requests  int
-	askFrom   time.Time
-	roomAt    time.Time // by the owner's latest grant
-	usedAt    time.Time // time of the latest request
-	spare     float64   // for retrying callers, in units a second
-	part      float64   // in units a second
-	fullUntil time.Time // until then new requests alone are expected to exceed the quota
-	backlog   float64   // refused units that are expected back, at backlogAt
-	backlogAt time.Time
-	past      []gotten // within the last window, oldest first
-	summary   *Summary // the latest summary of an owner
-	summaryOf string
-	summaryAt time.Time
-	sent      Draw // the latest draw
-	sentAt    time.Time
+	paid           float64 // already taken from the owner's bucket
+	paidUntil      time.Time
+	allowance      float64
+	allowanceUntil time.Time
+	used           float64 // of the allowance, since the last draw
+	offered        float64 // units since the last draw
+	requests       int
+	drawFrom       time.Time
+	retryAt        time.Time // by the owner's latest grant
+	usedAt         time.Time // time of the latest request
+	spareRate      float64   // for retrying callers, in units a second
+	rateShare      float64   // in units a second
+	overloadUntil  time.Time // until then new requests alone are expected to exceed the quota
+	backlog        float64   // refused units that are expected back, at backlogAt
+	backlogAt      time.Time
+	grants         []received // within the last window, oldest first
+	summary        *Summary   // the latest summary of an owner
+	summaryOwner   string
+	summaryAt      time.Time
+	sent           Draw // the latest draw
+	sentAt         time.Time
 }
 
 // received is what an owner has granted.
-type gotten struct {
+type received struct {
 	owner string
 	from  time.Time
 	at    time.Time // time of the latest of them
@@ -114,24 +114,24 @@
 // to requests that can still meet theirs.
 func (c *Client) Take(now time.Time, subject string, cost float64, late bool) Verdict {
 	a := c.account(subject)
-	if late && now.Before(a.fullUntil) {
+	if late && now.Before(a.overloadUntil) {
 		return Refuse
 	}
 	a.lapse(now)
-	if now.After(a.until) {
-		a.ahead = 0
+	if now.After(a.allowanceUntil) {
+		a.allowance = 0
 	}
 	switch {
 	case a.paid >= cost:
 		a.paid -= cost
 		return Admit
-	case a.paid+a.ahead >= cost:
+	case a.paid+a.allowance >= cost:
 		rest := cost - a.paid
 		a.paid = 0
-		a.ahead -= rest
+		a.allowance -= rest
 		a.used += rest
 		return Admit
-	case now.Before(a.askFrom):
+	case now.Before(a.drawFrom):
 		return Refuse
 	}
 	return AskOwner
@@ -142,11 +142,11 @@
 // quota there is no room for retries, and the caller should retry a window later.
 func (c *Client) AddRefusal(now time.Time, subject string, cost float64) time.Duration {
 	a := c.account(subject)
-	if a.spare <= 0 {
+	if a.spareRate <= 0 {
 		a.backlog, a.backlogAt = 0, now
-		return c.backMost
+		return c.maxRetryAfter
 	}
-	a.backlog = min(a.backlogNow(now)+cost, a.spare*c.backMost.Seconds())
+	a.backlog = min(a.currentBacklog(now)+cost, a.spareRate*c.maxRetryAfter.Seconds())
 	a.backlogAt = now
 	return c.Wait(now, subject)
 }
@@ -154,30 +154,30 @@
 // Wait returns the time until a request is admitted after the callers that were refused before it.
 func (c *Client) Wait(now time.Time, subject string) time.Duration {
 	a := c.account(subject)
-	if a.spare <= 0 && now.Before(a.fullUntil) {
-		return c.backMost
+	if a.spareRate <= 0 && now.Before(a.overloadUntil) {
+		return c.maxRetryAfter
 	}
-	wait := max(a.askFrom.Sub(now), a.roomAt.Sub(now), backLeast)
-	if a.spare <= 0 {
+	wait := max(a.drawFrom.Sub(now), a.retryAt.Sub(now), minRetryAfter)
+	if a.spareRate <= 0 {
 		return wait
 	}
-	return max(wait, time.Duration(a.backlogNow(now)/a.spare*float64(time.Second)))
+	return max(wait, time.Duration(a.currentBacklog(now)/a.spareRate*float64(time.Second)))
 }
 
 // currentBacklog returns the refused units whose callers have yet to retry.
-func (a *account) backlogNow(now time.Time) float64 {
-	return max(0, a.backlog-a.spare*now.Sub(a.backlogAt).Seconds())
+func (a *account) currentBacklog(now time.Time) float64 {
+	return max(0, a.backlog-a.spareRate*now.Sub(a.backlogAt).Seconds())
 }
 
 // RetryAfter returns the time until there is room for one more request, by the owner's latest
 // grant.
 func (c *Client) RetryAfter(now time.Time, subject string) time.Duration {
-	return max(0, c.account(subject).roomAt.Sub(now))
+	return max(0, c.account(subject).retryAt.Sub(now))
 }
 
 // RateShare returns the share of the rate, in units a second, that this daemon can count on, by the
 // owner's latest grant.
-func (c *Client) RateShare(subject string) float64 { return c.account(subject).part }
+func (c *Client) RateShare(subject string) float64 { return c.account(subject).rateShare }
 
 // Expire removes the state of subjects that have had no requests for longer than idleAfter.
 func (c *Client) Expire(now time.Time) {
@@ -198,15 +198,15 @@
 func (c *Client) BeginDraw(now time.Time, subject, owner string, l Limits, need float64, waiting int) Draw {
 	a := c.account(subject)
 	d := Draw{Daemon: c.self, Subject: subject, Limits: l, Need: need, Waiting: waiting, Used: a.used, Offered: a.offered, Requests: a.requests}
-	d.OtherGrants = a.elsewhere(now, owner, c.backMost)
-	d.WantSummary = a.summaryOf != owner || now.Sub(a.summaryAt) > informEvery
-	if a.summary != nil && a.summaryOf != owner {
-		told := *a.summary
-		told.Owner, told.Age = a.summaryOf, now.Sub(a.summaryAt)
-		d.Summary = &told
+	d.OtherGrants = a.otherGrants(now, owner, c.maxRetryAfter)
+	d.WantSummary = a.summaryOwner != owner || now.Sub(a.summaryAt) > summaryEvery
+	if a.summary != nil && a.summaryOwner != owner {
+		latest := *a.summary
+		latest.Owner, latest.Age = a.summaryOwner, now.Sub(a.summaryAt)
+		d.Summary = &latest
 	}
 	a.used, a.offered, a.requests, a.sent, a.sentAt = 0, 0, 0, d, now
-	a.ahead = 0 // the draw returns it
+	a.allowance = 0 // the draw returns it
 	return d
 }
 
@@ -214,36 +214,36 @@
 func (c *Client) ReceiveGrant(now time.Time, subject, owner string, g Grant) {
 	a := c.account(subject)
 	a.pay(now, g.Units)
-	a.ahead, a.until = g.Allowance, a.sentAt.Add(AllowanceLifetime) // not later than by the owner's clock
-	a.spare, a.part = g.SpareRate, g.RateShare
-	a.fullUntil = time.Time{}
+	a.allowance, a.allowanceUntil = g.Allowance, a.sentAt.Add(AllowanceLifetime) // not later than by the owner's clock
+	a.spareRate, a.rateShare = g.SpareRate, g.RateShare
+	a.overloadUntil = time.Time{}
 	if g.NearLimit && g.SpareRate <= 0 {
-		a.fullUntil = now.Add(fullFor)
+		a.overloadUntil = now.Add(overloadFor)
 	}
-	a.askFrom, a.roomAt = now.Add(g.NextDrawIn), now.Add(g.RetryAfter)
+	a.drawFrom, a.retryAt = now.Add(g.NextDrawIn), now.Add(g.RetryAfter)
 	if g.Summary != nil {
-		a.summary, a.summaryOf, a.summaryAt = g.Summary, owner, a.sentAt
+		a.summary, a.summaryOwner, a.summaryAt = g.Summary, owner, a.sentAt
 	}
-	c.remember(a, now, owner, g.Units+a.sent.Used)
+	c.recordGrant(a, now, owner, g.Units+a.sent.Used)
 }
 
 // recordGrant records what an owner has granted.
-func (c *Client) remember(a *account, now time.Time, owner string, units float64) {
-	for len(a.past) > 0 && now.Sub(a.past[0].at) > c.backMost {
-		a.past = a.past[1:]
+func (c *Client) recordGrant(a *account, now time.Time, owner string, units float64) {
+	for len(a.grants) > 0 && now.Sub(a.grants[0].at) > c.maxRetryAfter {
+		a.grants = a.grants[1:]
 	}
-	if n := len(a.past); n > 0 && a.past[n-1].owner == owner && now.Sub(a.past[n-1].from) < time.Duration(pastStep*float64(c.backMost)) {
-		a.past[n-1].units += units
-		a.past[n-1].at = now
+	if n := len(a.grants); n > 0 && a.grants[n-1].owner == owner && now.Sub(a.grants[n-1].from) < time.Duration(grantStep*float64(c.maxRetryAfter)) {
+		a.grants[n-1].units += units
+		a.grants[n-1].at = now
 		return
 	}
-	a.past = append(a.past, gotten{owner, now, now, units})
+	a.grants = append(a.grants, received{owner, now, now, units})
 }
 
 // otherGrants returns what other owners have granted within the window.
-func (a *account) elsewhere(now time.Time, owner string, window time.Duration) []PastGrant {
+func (a *account) otherGrants(now time.Time, owner string, window time.Duration) []PastGrant {
 	var list []PastGrant
-	for _, p := range a.past {
+	for _, p := range a.grants {
 		if p.owner != owner && p.units > 0 && now.Sub(p.at) < window {
 			list = append(list, PastGrant{Owner: p.owner, Age: now.Sub(p.at), Units: p.units})
 		}
@@ -255,12 +255,12 @@
 // recently.
 func (c *Client) RecentShare(now time.Time, subject string, sustained float64) float64 {
 	sum := 0.0
-	for _, p := range c.account(subject).past {
-		if now.Sub(p.at) < latelyOver {
+	for _, p := range c.account(subject).grants {
+		if now.Sub(p.at) < recentOver {
 			sum += p.units
 		}
 	}
-	return min(1, sum/latelyOver.Seconds()/max(sustained, 1))
+	return min(1, sum/recentOver.Seconds()/max(sustained, 1))
 }
 
 // DrawFailed processes the failure of the last draw: the next draw repeats what it reported.
--- a/coordination/quota/owner.go
+++ b/coordination/quota/owner.go
@@ -24,20 +24,20 @@
 }
 
 type bucket struct {
-	level    float64
-	at       time.Time // time of level
-	since    time.Time // start of the time for which this daemon has kept the bucket without interruption
-	granted  time.Time // time of the latest grant
-	informed time.Time // time up to which the grants of other owners are known; zero if no summary has arrived
-	window   window
-	demand   meter // units
-	requests meter
-	calmAt   time.Time // latest time at which demand was below the rate
-	shares   map[string]*share
-	ahead    float64 // of all daemons
-	swept    time.Time
-	scarce   map[int]time.Time // by rank: when requests last found no room
-	heads    map[string]head   // by daemon
+	level               float64
+	levelAt             time.Time // time of level
+	keptSince           time.Time // start of the time for which this daemon has kept the bucket without interruption
+	grantedAt           time.Time // time of the latest grant
+	informedUntil       time.Time // time up to which the grants of other owners are known; zero if no summary has arrived
+	window              window
+	demand              meter // units
+	requests            meter
+	lastCalm            time.Time // latest time at which demand was below the rate
+	shares              map[string]*share
+	allowances          float64 // of all daemons
+	allowancesExpiredAt time.Time
+	scarceAt            map[int]time.Time // by rank: when requests last found no room
+	heads               map[string]head   // by daemon
 }
 
 // head is the first of the requests that wait at a daemon.
@@ -57,45 +57,45 @@
 
 // share is the state of one daemon.
 type share struct {
-	demand   meter
-	requests meter
-	ahead    float64 // allowance not yet accounted for
-	until    time.Time
-	lapsed   float64   // expired allowance, counted as used
-	heard    time.Time // time up to which it has reported grants of other owners
-	drawn    time.Time
+	demand         meter
+	requests       meter
+	allowance      float64 // allowance not yet accounted for
+	allowanceUntil time.Time
+	expired        float64   // expired allowance, counted as used
+	reportedUntil  time.Time // time up to which it has reported grants of other owners
+	lastDraw       time.Time
 }
 
 // Draw answers a daemon's draw. fraction is the share of the limits that this owner may grant:
 // below 1 while daemons are missing that may draw from another owner.
-func (o *Owner) Draw(now time.Time, d Draw, part float64) Grant {
-	l := Limits{Rate: d.Limits.Rate * part, Burst: d.Limits.Burst * part}
+func (o *Owner) Draw(now time.Time, d Draw, fraction float64) Grant {
+	l := Limits{Rate: d.Limits.Rate * fraction, Burst: d.Limits.Burst * fraction}
 	b := o.bucket(now, d.Subject, o.bounds.depth(l))
-	o.inform(now, b, d)
+	o.applySummary(now, b, d)
 	rate := o.bounds.Sustained(l)
-	if b.ignorant(now, o.bounds.Window) {
+	if b.uninformed(now, o.bounds.Window) {
 		rate = l.Rate
 	}
 	b.refill(now, rate, o.bounds.depth(l))
-	b.sweep(now)
+	b.expireAllowances(now)
 	s := b.share(d.Daemon)
 	o.account(now, b, s, d)
 	g := Grant{NearLimit: true}
 	if !b.outranked(now, d.Rank) {
-		g = o.grant(now, b, s, d, l, part*o.bounds.over(d.Limits))
+		g = o.grant(now, b, s, d, l, fraction*o.bounds.excess(d.Limits))
 		g.RateShare = rate * b.shareOf(now, s)
 	}
 	if g.Units < d.Need {
-		b.scarce[d.Rank] = now
+		b.scarceAt[d.Rank] = now
 	}
-	g.RetryAfter = max(g.NextDrawIn, o.roomIn(now, b, d, l, part*o.bounds.over(d.Limits)))
+	g.RetryAfter = max(g.NextDrawIn, o.retryAfter(now, b, d, l, fraction*o.bounds.excess(d.Limits)))
 	b.noteHead(now, d, g)
 	if g.Units > 0 || g.Allowance > 0 {
-		b.granted = now
+		b.grantedAt = now
 	}
 	if d.WantSummary {
-		locked := o.locked(now, b, l, o.bounds.depth(l), startPart*part*o.bounds.over(d.Limits))
-		g.Summary = &Summary{Level: b.level - locked, Used: b.window.parts(now)}
+		withheld := o.withheld(now, b, l, o.bounds.depth(l), startShare*fraction*o.bounds.excess(d.Limits))
+		g.Summary = &Summary{Level: b.level - withheld, Used: b.window.periods(now)}
 	}
 	return g
 }
@@ -104,47 +104,47 @@
 // limits.
 func (o *Owner) grant(now time.Time, b *bucket, s *share, d Draw, l Limits, slack float64) Grant {
 	rate, depth := o.bounds.Sustained(l), o.bounds.depth(l)
-	left := b.window.room(now, o.bounds, l) - b.ahead
-	held := min(b.level, left)
-	room := min(held, b.level-o.locked(now, b, l, depth, startPart*slack)) - b.aheadOf(now, d)
-	pressed := b.demand.rate(now) > tightDemand*rate
-	if held >= tightLevel*depth && (room >= tightLevel*startPart*slack || !pressed) {
+	windowRoom := b.window.room(now, o.bounds, l) - b.allowances
+	available := min(b.level, windowRoom)
+	room := min(available, b.level-o.withheld(now, b, l, depth, startShare*slack)) - b.unitsBefore(now, d)
+	tight := b.demand.rate(now) > tightDemand*rate
+	if available >= tightLevel*depth && (room >= tightLevel*startShare*slack || !tight) {
 		g := Grant{Units: b.take(now, d, room, depth)}
-		if !pressed {
-			g.Allowance = b.authorize(now, s, aheadPart*(left+b.ahead))
+		if !tight {
+			g.Allowance = b.grantAllowance(now, s, allowanceShare*(windowRoom+b.allowances))
 		}
 		return g
 	}
-	mine := s.demand.rate(now) / max(b.totalDemand(now), 1)
-	g := Grant{NearLimit: true, SpareRate: b.spare(now, rate) * mine}
+	demandShare := s.demand.rate(now) / max(b.totalDemand(now), 1)
+	g := Grant{NearLimit: true, SpareRate: b.spareRate(now, rate) * demandShare}
 	if g.NextDrawIn = b.pace(now); g.NextDrawIn == 0 {
 		g.Units = b.take(now, d, room, depth)
 		return g
 	}
 	surplus := max(0, room) / surplusPer.Seconds()
-	each := (rate + surplus) * mine // units a second
-	if each*AllowanceLifetime.Seconds() < d.each() {
+	perSecond := (rate + surplus) * demandShare // units a second
+	if perSecond*AllowanceLifetime.Seconds() < d.meanCost() {
 		g.Units = b.take(now, d, room, depth) // its share would expire before it amounts to a request
 		return g
 	}
-	g.Units = max(0, min(each*g.NextDrawIn.Seconds(), room))
+	g.Units = max(0, min(perSecond*g.NextDrawIn.Seconds(), room))
 	b.spend(now, g.Units)
 	return g
 }
 
 // retryAfter returns the time until the bucket holds one more request like those that wait, rounded
 // up, so that a daemon that draws again at that time finds it.
-func (o *Owner) roomIn(now time.Time, b *bucket, d Draw, l Limits, slack float64) time.Duration {
+func (o *Owner) retryAfter(now time.Time, b *bucket, d Draw, l Limits, slack float64) time.Duration {
 	depth, rate := o.bounds.depth(l), o.bounds.Sustained(l)
-	missing := min(d.each(), depth) + b.aheadOf(now, d) - (b.level - o.locked(now, b, l, depth, startPart*slack))
+	missing := min(d.meanCost(), depth) + b.unitsBefore(now, d) - (b.level - o.withheld(now, b, l, depth, startShare*slack))
 	if missing <= 0 || rate <= 0 {
 		return 0
 	}
-	return min(roomMost, time.Duration(math.Ceil(missing/rate*1000))*time.Millisecond)
+	return min(maxRoomWait, time.Duration(math.Ceil(missing/rate*1000))*time.Millisecond)
 }
 
 // meanCost returns the mean cost of the waiting requests.
-func (d *Draw) each() float64 {
+func (d *Draw) meanCost() float64 {
 	if d.Waiting <= 0 {
 		return 0
 	}
@@ -155,8 +155,8 @@
 	b := o.buckets[subject]
 	if b == nil {
 		b = &bucket{
-			level: burst, at: now, since: now, swept: now, calmAt: now, window: newWindow(o.bounds.Window),
-			demand: meter{over: demandOver}, requests: meter{over: demandOver}, shares: map[string]*share{}, scarce: map[int]time.Time{}, heads: map[string]head{},
+			level: burst, levelAt: now, keptSince: now, allowancesExpiredAt: now, lastCalm: now, window: newWindow(o.bounds.Window),
+			demand: meter{over: demandOver}, requests: meter{over: demandOver}, shares: map[string]*share{}, scarceAt: map[int]time.Time{}, heads: map[string]head{},
 		}
 		o.buckets[subject] = b
 	}
@@ -165,8 +165,8 @@
 
 // uninformed reports whether the grants of the previous owner are unknown. After a window they no
 // longer matter.
-func (b *bucket) ignorant(now time.Time, window time.Duration) bool {
-	return b.informed.IsZero() && now.Sub(b.since) < window
+func (b *bucket) uninformed(now time.Time, window time.Duration) bool {
+	return b.informedUntil.IsZero() && now.Sub(b.keptSince) < window
 }
 
 // withheld returns how much of a bucket an owner withholds that lacks its predecessor's state: it
@@ -176,47 +176,47 @@
 // that has started within the window therefore grants only the share of its initial amount that
 // corresponds to its age within the window: however often daemons start within a window, their
 // initial amounts add up to no more than one.
-func (o *Owner) locked(now time.Time, b *bucket, l Limits, depth, start float64) float64 {
-	if !b.ignorant(now, o.bounds.Window) {
+func (o *Owner) withheld(now time.Time, b *bucket, l Limits, depth, start float64) float64 {
+	if !b.uninformed(now, o.bounds.Window) {
 		return 0
 	}
 	if age := now.Sub(o.started); age < o.bounds.Window {
-		unused := l.Rate * b.since.Sub(o.started).Seconds() // before the first draw
-		young := o.bounds.NewOwnerShare * start / startPart
-		start = min(start, young*age.Seconds()/o.bounds.Window.Seconds()+unused)
+		unused := l.Rate * b.keptSince.Sub(o.started).Seconds() // before the first draw
+		newOwners := o.bounds.NewOwnerShare * start / startShare
+		start = min(start, newOwners*age.Seconds()/o.bounds.Window.Seconds()+unused)
 	}
 	return max(0, depth-start)
 }
 
 // applySummary applies the summary of another owner, if that owner has granted something since this
 // one did, or if this one has started without a summary.
-func (o *Owner) inform(now time.Time, b *bucket, d Draw) {
+func (o *Owner) applySummary(now time.Time, b *bucket, d Draw) {
 	if d.Summary == nil || d.Summary.Owner == o.self {
 		return
 	}
 	asOf := now.Add(-d.Summary.Age)
-	begins := b.ignorant(now, o.bounds.Window)
-	if !asOf.After(b.granted) && !begins || !asOf.After(b.informed) {
+	uninformed := b.uninformed(now, o.bounds.Window)
+	if !asOf.After(b.grantedAt) && !uninformed || !asOf.After(b.informedUntil) {
 		return
 	}
-	if asOf.After(b.granted) {
+	if asOf.After(b.grantedAt) {
 		b.level = d.Summary.Level
-		b.at = asOf // what the rate has added since is refilled now
+		b.levelAt = asOf // what the rate has added since is refilled now
 		b.window.clear()
 	} else {
 		b.level = min(b.level, d.Summary.Level) // this owner's grants are in its window already
 	}
-	part := o.bounds.Window / summaryParts
+	period := o.bounds.Window / summaryPeriods
 	for i, units := range d.Summary.Used {
-		b.window.add(asOf.Add(-time.Duration(i)*part), units)
+		b.window.add(asOf.Add(-time.Duration(i)*period), units)
 	}
-	b.informed = asOf
+	b.informedUntil = asOf
 }
 
 func (b *bucket) refill(now time.Time, rate, burst float64) {
-	if d := now.Sub(b.at); d > 0 {
+	if d := now.Sub(b.levelAt); d > 0 {
 		b.level += rate * d.Seconds()
-		b.at = now
+		b.levelAt = now
 	}
 	b.level = min(b.level, burst)
 }
@@ -224,7 +224,7 @@
 // outranked reports whether more urgent requests than those of a rank have recently found no room:
 // the available units go to them.
 func (b *bucket) outranked(now time.Time, rank int) bool {
-	for other, at := range b.scarce {
+	for other, at := range b.scarceAt {
 		if other < rank && now.Sub(at) < scarceFor {
 			return true
 		}
@@ -233,7 +233,7 @@
 }
 
 // unitsBefore returns the units of the requests that wait at other daemons and come before a draw.
-func (b *bucket) aheadOf(now time.Time, d Draw) float64 {
+func (b *bucket) unitsBefore(now time.Time, d Draw) float64 {
 	if d.Need <= 0 {
 		return 0
 	}
@@ -241,7 +241,7 @@
 	units := 0.0
 	for daemon, h := range b.heads {
 		if daemon != d.Daemon && now.Before(h.until) && h.before(first) {
-			units += d.each()
+			units += d.meanCost()
 		}
 	}
 	return units
@@ -271,18 +271,18 @@
 
 // expireAllowances ends expired allowances: the window counts them as used until their daemon
 // reports otherwise.
-func (b *bucket) sweep(now time.Time) {
-	if now.Sub(b.swept) < AllowanceLifetime/4 {
+func (b *bucket) expireAllowances(now time.Time) {
+	if now.Sub(b.allowancesExpiredAt) < AllowanceLifetime/4 {
 		return
 	}
-	b.swept = now
+	b.allowancesExpiredAt = now
 	for id, s := range b.shares {
-		if s.ahead > 0 && now.After(s.until) {
-			b.window.add(now, s.ahead)
-			b.ahead -= s.ahead
-			s.lapsed, s.ahead = s.lapsed+s.ahead, 0
+		if s.allowance > 0 && now.After(s.allowanceUntil) {
+			b.window.add(now, s.allowance)
+			b.allowances -= s.allowance
+			s.expired, s.allowance = s.expired+s.allowance, 0
 		}
-		if now.Sub(s.drawn) > forgetAfter {
+		if now.Sub(s.lastDraw) > shareExpiry {
 			delete(b.shares, id)
 			delete(b.heads, id)
 		}
@@ -301,35 +301,35 @@
 // account applies what a daemon reports about the time since its last draw.
 func (o *Owner) account(now time.Time, b *bucket, s *share, d Draw) {
 	b.spend(now, d.Used)
-	b.window.add(now, -s.lapsed)
-	b.ahead -= s.ahead
-	s.lapsed, s.ahead = 0, 0
-	heard := s.heard
+	b.window.add(now, -s.expired)
+	b.allowances -= s.allowance
+	s.expired, s.allowance = 0, 0
+	reportedUntil := s.reportedUntil
 	for _, p := range d.OtherGrants {
 		at := now.Add(-p.Age)
-		if p.Owner == o.self || !at.After(b.informed) || !at.After(heard.Add(sameTime)) {
+		if p.Owner == o.self || !at.After(b.informedUntil) || !at.After(reportedUntil.Add(sameTime)) {
 			continue
 		}
 		b.window.add(at, p.Units)
 		b.level -= p.Units
-		s.heard = at
+		s.reportedUntil = at
 	}
-	s.drawn = now
+	s.lastDraw = now
 	s.demand.add(now, d.Offered)
 	s.requests.add(now, float64(d.Requests))
 	b.demand.add(now, d.Offered)
 	b.requests.add(now, float64(d.Requests))
 	if b.demand.rate(now) < d.Limits.Rate {
-		b.calmAt = now
+		b.lastCalm = now
 	}
 }
 
 // spareRate returns what the rate leaves for retrying callers, in units a second. A crowd of
 // callers that all arrive at once, as after a start of all daemons, is over soon: half of the rate
 // is then expected to be left.
-func (b *bucket) spare(now time.Time, rate float64) float64 {
+func (b *bucket) spareRate(now time.Time, rate float64) float64 {
 	left := max(0, rate-b.demand.rate(now))
-	if now.Sub(b.calmAt) < rushFor {
+	if now.Sub(b.lastCalm) < rushFor {
 		return max(left, rate/2)
 	}
 	return left
@@ -342,41 +342,41 @@
 	if d.Waiting == 0 || d.Need <= 0 {
 		return 0
 	}
-	each := d.each()
+	mean := d.meanCost()
 	units := d.Need
 	if room < min(d.Need, burst) {
-		units = max(0, each*math.Floor(room/each))
+		units = max(0, mean*math.Floor(room/mean))
 	}
-	if units == 0 && room >= min(each, burst) {
-		units = each
+	if units == 0 && room >= min(mean, burst) {
+		units = mean
 	}
 	b.spend(now, units)
 	return units
 }
 
 // grantAllowance returns the allowance of a daemon. limit bounds the allowances of all daemons.
-func (b *bucket) authorize(now time.Time, s *share, most float64) float64 {
+func (b *bucket) grantAllowance(now time.Time, s *share, limit float64) float64 {
 	requests := s.requests.rate(now)
 	if requests <= 0 {
 		return 0
 	}
-	each := s.demand.rate(now) / requests
-	wanted := min(s.demand.rate(now)*aheadFor.Seconds(), most/float64(len(b.shares)), most-b.ahead)
-	if wanted < leastAhead*each {
+	mean := s.demand.rate(now) / requests
+	wanted := min(s.demand.rate(now)*allowanceFor.Seconds(), limit/float64(len(b.shares)), limit-b.allowances)
+	if wanted < minAllowance*mean {
 		return 0
 	}
-	s.ahead, s.until = wanted, now.Add(AllowanceLifetime)
-	b.ahead += wanted
+	s.allowance, s.allowanceUntil = wanted, now.Add(AllowanceLifetime)
+	b.allowances += wanted
 	return wanted
 }
 
 // pace returns the time between two draws of a daemon that keeps the owner's load within maxDraws;
 // zero where each request may have its own draw.
 func (b *bucket) pace(now time.Time) time.Duration {
-	if b.requests.rate(now) <= asksMost {
+	if b.requests.rate(now) <= maxDraws {
 		return 0
 	}
-	return min(paceMost, time.Duration(len(b.shares))*time.Second/asksMost)
+	return min(maxPace, time.Duration(len(b.shares))*time.Second/maxDraws)
 }
 
 // totalDemand returns the demand of all daemons, averaged as that of each one.
@@ -410,7 +410,7 @@
 // Expire removes the buckets that nobody has drawn from for longer than idleAfter.
 func (o *Owner) Expire(now time.Time) {
 	for subject, b := range o.buckets {
-		if now.Sub(b.at) > idleAfter {
+		if now.Sub(b.levelAt) > idleAfter {
 			delete(o.buckets, subject)
 		}
 	}
@@ -423,7 +423,7 @@
 		return View{}, false
 	}
 	if b.window.step > 0 {
-		b.window.move(now)
+		b.window.advance(now)
 	}
-	return View{Level: b.level, Demand: b.demand.rate(now), Window: b.window.sum, Allowance: b.ahead, Daemons: len(b.shares), Informed: !b.informed.IsZero()}, true
+	return View{Level: b.level, Demand: b.demand.rate(now), Window: b.window.sum, Allowance: b.allowances, Daemons: len(b.shares), Informed: !b.informedUntil.IsZero()}, true
 }
--- a/coordination/quota/quota_test.go
+++ b/coordination/quota/quota_test.go
@@ -38,7 +38,7 @@
 	return got
 }
 
-func TestBucketGivesTheBurstAndThenTheRate(t *testing.T) {
+func TestBucketGrantsBurstThenRate(t *testing.T) {
 	o := NewOwner("a", bounds, longAgo)
 	o.Draw(at(0), draw("d", 1), 1)
 	if got := drain(o, at(10), "d"); got < 500 || got > 1000 {
@@ -48,7 +48,7 @@
 	for i := range 800 {
 		sum += o.Draw(at(10+float64(i)/100), draw(fmt.Sprint(i%5), 100), 1).Units
 	}
-	if sum < 7600 || sum > 8000+1000+bounds.over(limits) {
+	if sum < 7600 || sum > 8000+1000+bounds.excess(limits) {
 		t.Errorf("%.0f units granted in the window after it", sum)
 	}
 }
@@ -73,11 +73,11 @@
 // granted already.
 func TestNextOwnerGoesOnFromTheSummary(t *testing.T) {
 	first := NewOwner("a", bounds, longAgo)
-	ask := draw("d", 100)
-	ask.WantSummary = true
-	first.Draw(at(0), ask, 1)
+	withSummary := draw("d", 100)
+	withSummary.WantSummary = true
+	first.Draw(at(0), withSummary, 1)
 	drain(first, at(10), "d")
-	g := first.Draw(at(10), ask, 1)
+	g := first.Draw(at(10), withSummary, 1)
 	if g.Summary == nil {
 		t.Fatal("the grant has no summary")
 	}
@@ -89,7 +89,7 @@
 		least   float64
 		most    float64
 	}{
-		{"without a summary it grants a share of the slack", func(*Draw) {}, 10.2, false, 1, startPart * bounds.over(limits)},
+		{"without a summary it grants a share of the slack", func(*Draw) {}, 10.2, false, 1, startShare * bounds.excess(limits)},
 		{"by the summary there is nothing to grant", func(d *Draw) {
 			d.Summary = &Summary{Owner: "a", Age: 200 * time.Millisecond, Level: g.Summary.Level, Used: g.Summary.Used}
 		}, 10.2, true, 0, 400},
@@ -97,7 +97,7 @@
 			d.Summary = &Summary{Owner: "a", Age: time.Second, Level: 900, Used: []float64{100}}
 			d.OtherGrants = []PastGrant{{Owner: "a", Age: 500 * time.Millisecond, Units: 700}}
 		}, 10.2, true, 0, 500},
-		{"its own summary is ignored", func(d *Draw) { d.Summary = &Summary{Owner: "b", Age: 0, Level: 900} }, 10.2, false, 1, startPart * bounds.over(limits)},
+		{"its own summary is ignored", func(d *Draw) { d.Summary = &Summary{Owner: "b", Age: 0, Level: 900} }, 10.2, false, 1, startShare * bounds.excess(limits)},
 	} {
 		next := NewOwner("b", bounds, longAgo)
 		d := draw("d", 1)
@@ -127,21 +127,21 @@
 
 // Guards against allowances that are granted twice: while valid they are reserved for their daemon,
 // and expired ones count as used until the daemon reports otherwise.
-func TestAheadIsAccountedFor(t *testing.T) {
+func TestAllowanceIsAccountedFor(t *testing.T) {
 	o, c := NewOwner("a", bounds, longAgo), NewClient("d", bounds)
-	now, ahead := at(20), 0.0
-	for i := 0; ahead == 0 && i < 40; i++ {
+	now, allowance := at(20), 0.0
+	for i := 0; allowance == 0 && i < 40; i++ {
 		now = now.Add(200 * time.Millisecond)
 		c.Offer(now, "w", 20)
 		if c.Take(now, "w", 20, false) == AskOwner {
 			g := o.Draw(now, c.BeginDraw(now, "w", "a", limits, 20, 1), 1)
 			c.ReceiveGrant(now, "w", "a", g)
 			c.Take(now, "w", 20, false)
-			ahead = g.Allowance
+			allowance = g.Allowance
 		}
 	}
-	if ahead < 20 {
-		t.Fatalf("allowance of %.0f units for a daemon that sends 5 requests a second", ahead)
+	if allowance < 20 {
+		t.Fatalf("allowance of %.0f units for a daemon that sends 5 requests a second", allowance)
 	}
 	if c.Take(now, "w", 20, false) != Admit {
 		t.Error("a request within the allowance was not admitted")
@@ -159,7 +159,7 @@
 
 // Guards against refused callers that all retry at once: they retry one after the other at the
 // spare rate, or a window later where new requests alone exceed the quota.
-func TestRefusedCallersDoNotRush(t *testing.T) {
+func TestRefusedCallersRetryOneByOne(t *testing.T) {
 	c := NewClient("d", bounds)
 	c.BeginDraw(at(0), "w", "a", limits, 100, 1)
 	c.ReceiveGrant(at(0), "w", "a", Grant{NearLimit: true, SpareRate: 100})
@@ -208,7 +208,7 @@
 // Guards against late requests that take units from requests which can still be in time: while new
 // requests alone exceed the quota the late ones are refused although units are available; otherwise
 // they are equal.
-func TestWhatCanBeInTimeGoesFirst(t *testing.T) {
+func TestRequestsInTimeGoFirst(t *testing.T) {
 	c := NewClient("d", bounds)
 	granted := func(seconds float64, g Grant) {
 		c.BeginDraw(at(seconds), "w", "a", limits, 100, 1)
@@ -275,41 +275,41 @@
 // urgent request, then to the one whose caller gives up first. A request that does not draw again
 // in time delays nobody.
 func TestWaitingRequestsGoInOrderOverAllDaemons(t *testing.T) {
-	one := Bounds{Window: 4 * time.Second, Overage: 0.5, Slack: 5, DepthShare: 0.2}
-	asks := func(daemon string, rank int, left time.Duration, waits bool) Draw {
-		return Draw{Daemon: daemon, Subject: "e", Limits: Limits{Rate: 1}, Need: 1, Waiting: 1, Offered: 1, Requests: 1, Rank: rank, TimeLeft: left, Queued: waits}
+	endpointBounds := Bounds{Window: 4 * time.Second, Overage: 0.5, Slack: 5, DepthShare: 0.2}
+	drawOf := func(daemon string, rank int, timeLeft time.Duration, queued bool) Draw {
+		return Draw{Daemon: daemon, Subject: "e", Limits: Limits{Rate: 1}, Need: 1, Waiting: 1, Offered: 1, Requests: 1, Rank: rank, TimeLeft: timeLeft, Queued: queued}
 	}
-	o := NewOwner("o", one, longAgo)
+	o := NewOwner("o", endpointBounds, longAgo)
 	now := at(10)
-	for o.Draw(now, asks("z", 1, time.Minute, false), 1).Units > 0 {
+	for o.Draw(now, drawOf("z", 1, time.Minute, false), 1).Units > 0 {
 	}
-	g := o.Draw(now, asks("a", 1, 5*time.Second, true), 1)
+	g := o.Draw(now, drawOf("a", 1, 5*time.Second, true), 1)
 	if g.Units > 0 || g.RetryAfter <= 0 || g.RetryAfter > time.Second {
 		t.Fatalf("the first waiting request: %+v", g)
 	}
-	if later := o.Draw(now, asks("b", 1, 9*time.Second, true), 1); later.Units > 0 || later.RetryAfter < g.RetryAfter+900*time.Millisecond {
+	if later := o.Draw(now, drawOf("b", 1, 9*time.Second, true), 1); later.Units > 0 || later.RetryAfter < g.RetryAfter+900*time.Millisecond {
 		t.Errorf("a waiting request that comes after the first: %+v, room for the first in %v", later, g.RetryAfter)
 	}
 	now = now.Add(g.RetryAfter)
-	if g := o.Draw(now, asks("c", 1, 15*time.Second, false), 1); g.Units > 0 {
+	if g := o.Draw(now, drawOf("c", 1, 15*time.Second, false), 1); g.Units > 0 {
 		t.Error("a new request overtakes the waiting ones")
 	}
-	if g := o.Draw(now, asks("a", 1, 3*time.Second, true), 1); g.Units < 1 {
+	if g := o.Draw(now, drawOf("a", 1, 3*time.Second, true), 1); g.Units < 1 {
 		t.Errorf("the first waiting request is not admitted in its turn: %+v", g)
 	}
 	// b does not draw again: its place expires shortly after the time at which it should have
 	// drawn.
 	now = now.Add(2*time.Second + headSlack)
-	if g := o.Draw(now, asks("c", 1, 15*time.Second, false), 1); g.Units < 1 {
+	if g := o.Draw(now, drawOf("c", 1, 15*time.Second, false), 1); g.Units < 1 {
 		t.Errorf("a request is delayed by one that no longer draws: %+v", g)
 	}
 	now = now.Add(100 * time.Millisecond)
-	for o.Draw(now, asks("z", 1, time.Minute, false), 1).Units > 0 {
+	for o.Draw(now, drawOf("z", 1, time.Minute, false), 1).Units > 0 {
 	}
-	o.Draw(now, asks("b", 1, 2*time.Second, true), 1)
+	o.Draw(now, drawOf("b", 1, 2*time.Second, true), 1)
 	o.Draw(now, Draw{Daemon: "b", Subject: "e", Limits: Limits{Rate: 1}}, 1) // its request stops waiting
 	now = now.Add(time.Second)
-	if g := o.Draw(now, asks("c", 1, 15*time.Second, false), 1); g.Units < 1 {
+	if g := o.Draw(now, drawOf("c", 1, 15*time.Second, false), 1); g.Units < 1 {
 		t.Errorf("a request is delayed by one whose daemon has reported that it no longer waits: %+v", g)
 	}
 }
--- a/coordination/quota/types.go
+++ b/coordination/quota/types.go
@@ -57,14 +57,14 @@
 	if b.Window <= 0 {
 		return l.Burst
 	}
-	return min(l.Burst, l.Burst/2+startPart*b.over(l)) + b.DepthShare*b.over(l)
+	return min(l.Burst, l.Burst/2+startShare*b.excess(l)) + b.DepthShare*b.excess(l)
 }
 
 // inWindow returns the most that an owner grants in a window.
-func (b Bounds) inWindow(l Limits) float64 { return b.perWindow(l) + b.DepthShare*b.over(l) }
+func (b Bounds) inWindow(l Limits) float64 { return b.perWindow(l) + b.DepthShare*b.excess(l) }
 
 // excess returns the units by which all daemons may exceed the limits in a window.
-func (b Bounds) over(l Limits) float64 {
+func (b Bounds) excess(l Limits) float64 {
 	return b.Overage*b.perWindow(l) + b.Slack
 }
 
@@ -74,29 +74,29 @@
 	if b.Window <= 0 {
 		return 1
 	}
-	return min(1, alonePart*b.over(l)/b.perWindow(l))
+	return min(1, isolatedShare*b.excess(l)/b.perWindow(l))
 }
 
 const (
 	// isolatedShare is the share of the slack for daemons that cannot reach the owner.
-	alonePart = 0.5
+	isolatedShare = 0.5
 	// startShare is the share of the slack that a new owner grants before the other daemons have
 	// reported what they got from its predecessor. The rest covers small errors of the counts.
-	startPart = 0.3
+	startShare = 0.3
 	// DefaultNewOwnerShare is the value of Bounds.NewOwnerShare for subjects with a burst, which a
 	// bucket holds already.
-	DefaultNewOwnerShare = startPart
+	DefaultNewOwnerShare = startShare
 	// allowanceShare is the share of a window's free room that all daemons together may hold as
 	// allowances. It is reserved, so the limits hold whoever uses it.
-	aheadPart = 0.35
+	allowanceShare = 0.35
 	// allowanceFor is the time for which an allowance covers a daemon's own demand, and
 	// AllowanceLifetime how long it is valid. Expired allowances count as used until their daemon
 	// reports what it used.
-	aheadFor          = 4 * time.Second
+	allowanceFor      = 4 * time.Second
 	AllowanceLifetime = 5 * time.Second
 	// minAllowance is the number of average requests from which an allowance is worth granting: a
 	// fraction of a request admits none.
-	leastAhead = 1
+	minAllowance = 1
 	// tightDemand is the demand, as a share of the rate, from which no allowances are granted, and
 	// tightLevel the level, as a share of the depth, from which draws are paced.
 	tightDemand = 0.75
@@ -104,9 +104,9 @@
 	// maxDraws is the number of draws a second that an owner should receive for a subject over its
 	// limit: a call costs both daemons processor time, and refused requests need no answer of their
 	// own. Beyond it daemons draw for a period in advance.
-	asksMost = 150
+	maxDraws = 150
 	// maxPace bounds the time between two draws of a daemon.
-	paceMost = time.Second
+	maxPace = time.Second
 	// surplusPer is the time over which the content of the bucket beyond its refill is granted
 	// while draws are paced.
 	surplusPer = time.Second
@@ -118,21 +118,21 @@
 	shareOver = 10 * time.Second
 	// recentOver is the time over which a daemon that cannot reach an owner sums up its past
 	// grants.
-	latelyOver = 4 * time.Second
+	recentOver = 4 * time.Second
 	// rushFor is how long demand may exceed the rate before it is expected to last: callers that
 	// have waited for daemons to restart all arrive within it.
 	rushFor = 2 * time.Second
 	// sameTime is how far apart the times may be that a daemon reports for one grant in two draws.
 	sameTime = 50 * time.Millisecond
 	// shareExpiry is how long an owner keeps the state of a daemon that does not draw.
-	forgetAfter = 30 * time.Second
+	shareExpiry = 30 * time.Second
 	// scarceFor is how long less urgent requests are granted nothing after a request found no room.
 	// Callers that keep asking draw several times within it.
 	scarceFor = time.Second
 	// idleAfter is how long the state of a subject without requests is kept.
 	idleAfter = 10 * time.Minute
 	// maxRoomWait bounds Grant.RetryAfter where the rate is next to nothing.
-	roomMost = time.Minute
+	maxRoomWait = time.Minute
 )
 
 // Draw is a daemon's call to the owner of a subject.
@@ -208,11 +208,11 @@
 }
 
 func (m *meter) add(now time.Time, x float64) {
-	m.value = m.fading(now) + x
+	m.value = m.decayed(now) + x
 	m.at = now
 }
 
-func (m *meter) fading(now time.Time) float64 {
+func (m *meter) decayed(now time.Time) float64 {
 	if m.at.IsZero() {
 		return 0
 	}
@@ -220,4 +220,4 @@
 }
 
 // rate returns the average per second.
-func (m *meter) rate(now time.Time) float64 { return m.fading(now) / m.over.Seconds() }
+func (m *meter) rate(now time.Time) float64 { return m.decayed(now) / m.over.Seconds() }
--- a/coordination/quota/window.go
+++ b/coordination/quota/window.go
@@ -19,7 +19,7 @@
 func (w *window) clear() { w.used, w.sum = [windowSteps]float64{}, 0 }
 
 // advance moves the window to now and drops older usage.
-func (w *window) move(now time.Time) {
+func (w *window) advance(now time.Time) {
 	at := now.UnixNano() / int64(w.step)
 	if w.at == 0 || at-w.at >= windowSteps {
 		w.used, w.sum, w.at = [windowSteps]float64{}, 0, at
@@ -40,7 +40,7 @@
 	}
 	step := at.UnixNano() / int64(w.step)
 	if step >= w.at {
-		w.move(at)
+		w.advance(at)
 	}
 	if w.at-step >= windowSteps {
 		return // before the window
@@ -54,23 +54,23 @@
 	if w.step <= 0 {
 		return l.Burst
 	}
-	w.move(now)
+	w.advance(now)
 	return bounds.inWindow(l) - w.sum
 }
 
 // summaryPeriods is the number of periods in which a summary reports the usage of a window.
-const summaryParts = 8
+const summaryPeriods = 8
 
 // periods returns the usage in equal periods of the window, the latest first.
-func (w *window) parts(now time.Time) []float64 {
+func (w *window) periods(now time.Time) []float64 {
 	if w.step <= 0 {
 		return nil
 	}
-	w.move(now)
-	const each = windowSteps / summaryParts
-	list := make([]float64, summaryParts)
+	w.advance(now)
+	const perPeriod = windowSteps / summaryPeriods
+	list := make([]float64, summaryPeriods)
 	for i := range int64(windowSteps) {
-		list[i/each] += w.used[(w.at-i+windowSteps)%windowSteps]
+		list[i/perPeriod] += w.used[(w.at-i+windowSteps)%windowSteps]
 	}
 	return list
 }
