--- a/coordination/limit/book.go
+++ b/coordination/limit/book.go
@@ -1,10 +1,10 @@
-// Package limit decides what a daemon believes of the limits that endpoints name in their
-// answers: the requests a second that an endpoint takes from all daemons together. The newest
-// word counts, whoever heard it; it holds for one life of the endpoint, and ends when an answer
-// bears none any more. The package is a state machine without I/O: words and the time go in,
-// changes of belief and what others must be told come out.
+// Package limit tracks the rate limits that endpoints report in their answers: the requests a
+// second that an endpoint accepts from all daemons together. The latest report counts, whichever
+// daemon received it. It holds for one incarnation of the endpoint, and ends when an answer carries
+// no limit any more. Tracker is a state machine without I/O: callers pass reports and the time, and
+// apply the changes and publish the reports that it returns.
 //
-// Invariant: versions of an endpoint's words only rise, at each daemon.
+// Invariant: at each daemon, the versions of an endpoint's reports only rise.
 package limit
 
 import (
@@ -13,53 +13,56 @@
 	"github.com/doorvalve/doorvalve/state/fleet"
 )
 
-// Word is what an endpoint has said last.
+// Report is the latest report of an endpoint.
 type Report struct {
-	Rate     float64 // requests a second from all daemons; without meaning unless Limited
-	Limited  bool    // else the endpoint names no limit any more
+	Rate     float64 // requests a second from all daemons; meaningful only if Limited
+	Limited  bool    // false: the endpoint reports no limit any more
 	Version  uint64
-	Reporter string // daemon that heard it
+	Reporter string // daemon that received the report from the endpoint
 }
 
-// Change is a belief that has changed.
+// Change is a change of an endpoint's report.
 type Change struct {
 	Incarnation fleet.Incarnation
 	Before, Now Report
-	// Tell says that the other daemons should be told: it is the begin or the end of a
-	// limit, or the first change in a while.
+	// Publish is set if the change should be sent to the other daemons: a limit begins or ends, or
+	// this is the first change for a while.
 	Publish bool
 }
 
 const (
-	// tellChange is the least time between two changes of a limit that any daemon tells the
-	// others: its owner is told with each draw. That one begins or ends is told at once, unless
-	// that came within tellTurn: an endpoint that says now this, now that costs no more.
+	// publishEvery is the least time between two changes of a limit that a daemon publishes; the
+	// owner of the limit receives changes with each draw. The begin or end of a limit is published
+	// at once, unless the previous publication was less than publishToggleEvery ago, so that an
+	// endpoint which alternates between both costs no more.
 	tellChange = time.Second
 	tellTurn   = 100 * time.Millisecond
-	// Remember is how long the end of a limit is remembered: late words of it are no news.
+	// Retention is how long the end of a limit is kept, so that late reports of the limit are
+	// ignored.
 	Retention = 10 * time.Minute
 )
 
-// belief is what is known of one life of an endpoint.
+// state is the state of one incarnation of an endpoint.
 type belief struct {
 	word Report
-	// learned is when the word was heard last. What an answer says to a request that was sent
-	// after it is newer; of others that cannot be told.
+	// receivedAt is when the report last arrived. An answer to a request that was sent after it is
+	// newer; the order of other answers is unknown.
 	learned time.Time
 	told    Report
 	toldAt  time.Time
 }
 
-// Book is the beliefs of one daemon. It is not safe for concurrent use.
+// Tracker holds the reports that one daemon has received. It is not safe for concurrent use.
 type Tracker struct {
 	self    string
 	beliefs map[fleet.Incarnation]*belief
 }
 
-// New returns a book of a daemon that has heard nothing.
+// New returns a tracker without reports.
 func New(self string) *Tracker { return &Tracker{self: self, beliefs: map[fleet.Incarnation]*belief{}} }
 
-// Heard takes what an answer says to a request that was sent at some time.
+// ObserveReport processes what an answer reports to a request sent at the given time. It returns
+// the change to apply or publish, and whether there is one.
 func (b *Tracker) ObserveReport(now, sent time.Time, life fleet.Incarnation, rate float64, limited bool) (Change, bool) {
 	k := b.beliefs[life]
 	switch {
@@ -69,7 +72,7 @@
 		k = &belief{}
 		b.beliefs[life] = k
 	case sent.Before(k.learned):
-		return Change{}, false // an earlier word may have overtaken a later one on its way
+		return Change{}, false // the answer may be older than the current report
 	}
 	k.learned = now
 	before := k.word
@@ -88,7 +91,8 @@
 	return Change{Incarnation: life, Before: before, Now: k.word, Publish: tell}, true
 }
 
-// Untold returns the changes that were not told when they came and should be by now.
+// TakePending returns the changes that were not published when they occurred and are due now, and
+// marks them as published.
 func (b *Tracker) TakePending(now time.Time) []Change {
 	var list []Change
 	for life, k := range b.beliefs {
@@ -99,8 +103,8 @@
 	return list
 }
 
-// overdue returns a change that was not told when it came, or a limit that was told so long ago
-// that daemons which start now would not hear of it.
+// overdue returns a change that was not published when it occurred, or a limit that was published
+// so long ago that newly started daemons would not receive it.
 func (b *Tracker) overdue(now time.Time, life fleet.Incarnation, k *belief) (Change, bool) {
 	if k.word.Limited && k.word.age(now) > Retention/2 {
 		k.word.Version, k.word.Reporter = uint64(now.UnixMilli()), b.self
@@ -112,27 +116,29 @@
 	return Change{}, false
 }
 
-// untold reports whether a daemon should tell now what it has heard and not told.
+// pending reports whether the daemon should now publish a report that it has received and not
+// published.
 func (k *belief) untold(self string, now time.Time) bool {
 	return k.word.Reporter == self && k.told.Version != k.word.Version && now.Sub(k.toldAt) >= tellChange
 }
 
-// tell returns the last word to be told.
+// publish marks the latest report as published, and returns it as a change.
 func (k *belief) tell(now time.Time, life fleet.Incarnation) Change {
 	k.told, k.toldAt = k.word, now
 	return Change{Incarnation: life, Before: k.word, Now: k.word, Publish: true}
 }
 
-// age returns about how long ago a word was new: its version is a time of day, unless words
-// came faster than that.
+// age returns the approximate age of a report: its version is the Unix time in milliseconds unless
+// reports arrived faster than that.
 func (w Report) age(now time.Time) time.Duration {
 	return time.Duration(now.UnixMilli()-int64(w.Version)) * time.Millisecond
 }
 
-// Stale reports whether a word of some version is so old that daemons forget it.
+// Stale reports whether a report of the given version is older than Retention.
 func Stale(now time.Time, version uint64) bool { return Report{Version: version}.age(now) > Retention }
 
-// Told takes what another daemon has heard.
+// ReceiveReport processes a report that another daemon has received. It returns the change to
+// apply, and whether there is one.
 func (b *Tracker) ReceiveReport(now time.Time, life fleet.Incarnation, w Report) (Change, bool) {
 	k := b.beliefs[life]
 	if k == nil {
@@ -148,7 +154,7 @@
 	return Change{Incarnation: life, Before: before, Now: w}, before.Limited != w.Limited || before.Rate != w.Rate
 }
 
-// Of returns the last word of an endpoint's life.
+// Latest returns the latest report of an incarnation.
 func (b *Tracker) Latest(life fleet.Incarnation) (Report, bool) {
 	if k := b.beliefs[life]; k != nil {
 		return k.word, true
@@ -156,8 +162,8 @@
 	return Report{}, false
 }
 
-// Keep forgets lives that have ended, and limits that ended long ago; it returns the limits
-// that it has forgotten.
+// Prune removes limits of incarnations that are not listed, and limits that ended long ago. It
+// returns the active limits that it removed.
 func (b *Tracker) Prune(now time.Time, listed func(fleet.Incarnation) bool) []Change {
 	var dropped []Change
 	for life, k := range b.beliefs {
@@ -173,11 +179,11 @@
 	return dropped
 }
 
-// unlistedFor is how long the limit of an endpoint that is not listed is kept after its last
-// word: a list may be older than the word, or miss an entry for a while.
+// unlistedFor is how long the limit of an endpoint that is not listed is kept after its latest
+// report: the list may be older than the report, or lack an entry for a while.
 const unlistedFor = time.Minute
 
-// Limited returns the lives that name a limit now, with their last words.
+// Limited returns the incarnations that report a limit now, with their latest reports.
 func (b *Tracker) Limited() map[fleet.Incarnation]Report {
 	limited := map[fleet.Incarnation]Report{}
 	for life, k := range b.beliefs {
--- a/coordination/limit/book_test.go
+++ b/coordination/limit/book_test.go
@@ -18,12 +18,12 @@
 	return start.Add(time.Duration(seconds * float64(time.Second)))
 }
 
-// said is an answer, or the word of another daemon.
+// input is an answer, or a report of another daemon.
 type said struct {
 	now, sent float64
 	rate      float64
 	limited   bool
-	told      uint64 // version that another daemon tells, after the first one here; 0: an answer
+	told      uint64 // version of another daemon's report, relative to the first one here; 0: an answer
 }
 
 func TestTheNewestWordCounts(t *testing.T) {
@@ -33,18 +33,18 @@
 		rate    float64
 		limited bool
 	}{
-		{"an answer without a word before any", []said{{1, 0.9, 0, false, 0}}, 0, false},
-		{"a first word, of a request sent long ago", []said{{10, 1, 1.1, true, 0}}, 1.1, true},
+		{"an answer without a limit before any report", []said{{1, 0.9, 0, false, 0}}, 0, false},
+		{"a first report, to a request sent long ago", []said{{10, 1, 1.1, true, 0}}, 1.1, true},
 		{"it rises", []said{{1, 0.9, 1, true, 0}, {2, 1.5, 3, true, 0}}, 3, true},
 		{"it falls", []said{{1, 0.9, 3, true, 0}, {2, 1.5, 1, true, 0}}, 1, true},
 		{"it ends", []said{{1, 0.9, 3, true, 0}, {2, 1.5, 0, false, 0}}, 0, false},
 		{"a late answer does not end it", []said{{1, 0.9, 3, true, 0}, {2, 0.5, 0, false, 0}}, 3, true},
 		{"a late answer does not begin it again", []said{{1, 0.9, 3, true, 0}, {2, 1.5, 0, false, 0}, {2.1, 1.8, 3, true, 0}}, 0, false},
 		{"it begins again", []said{{1, 0.9, 3, true, 0}, {2, 1.5, 0, false, 0}, {3, 2.5, 2, true, 0}}, 2, true},
-		{"another daemon has heard a newer one", []said{{1, 0.9, 3, true, 0}, {2, 0, 1, true, 1}}, 1, true},
-		{"an answer to what was sent before that", []said{{1, 0.9, 3, true, 0}, {2, 0, 1, true, 1}, {2.1, 1.9, 3, true, 0}}, 1, true},
-		{"an answer to what was sent after it", []said{{1, 0.9, 3, true, 0}, {2, 0, 1, true, 1}, {2.1, 2.05, 3, true, 0}}, 3, true},
-		{"another daemon tells its end", []said{{1, 0.9, 3, true, 0}, {2, 0, 0, false, 1}}, 0, false},
+		{"another daemon has received a newer report", []said{{1, 0.9, 3, true, 0}, {2, 0, 1, true, 1}}, 1, true},
+		{"an answer to a request sent before that", []said{{1, 0.9, 3, true, 0}, {2, 0, 1, true, 1}, {2.1, 1.9, 3, true, 0}}, 1, true},
+		{"an answer to a request sent after it", []said{{1, 0.9, 3, true, 0}, {2, 0, 1, true, 1}, {2.1, 2.05, 3, true, 0}}, 3, true},
+		{"another daemon reports its end", []said{{1, 0.9, 3, true, 0}, {2, 0, 0, false, 1}}, 0, false},
 	} {
 		b := New("d")
 		first := uint64(0)
@@ -65,8 +65,9 @@
 	}
 }
 
-// A limit that begins or ends is told at once, changes in between at most once a second; one that
-// lasts is told again, so that daemons which start later hear of it.
+// Guards against daemons that miss a limit, and against endpoints whose limit changes often and
+// causes many messages: a limit that begins or ends is published at once, changes in between at
+// most once a second, and a limit that lasts is published again for daemons which start later.
 func TestWhatIsToldOfALimit(t *testing.T) {
 	b := New("d")
 	tells := func(seconds, rate float64, limited bool) bool {
@@ -83,18 +84,18 @@
 		{600, 0, false, true}, {600.05, 3, true, false}, {600.08, 0, false, false},
 	} {
 		if got := tells(c.seconds, c.rate, c.limited); got != c.told {
-			t.Errorf("at %g s, %g a second: told %v, want %v", c.seconds, c.rate, got, c.told)
+			t.Errorf("at %g s, %g a second: published %v, want %v", c.seconds, c.rate, got, c.told)
 		}
 	}
 	if n := len(b.TakePending(at(600.5))); n != 0 {
-		t.Errorf("%d changes told shortly after the last", n)
+		t.Errorf("%d changes published shortly after the last", n)
 	}
 	if n := len(b.TakePending(at(602))); n != 1 || len(b.TakePending(at(602.1))) != 0 {
-		t.Errorf("%d changes told late, want one, once", n)
+		t.Errorf("%d pending changes published, want one, once", n)
 	}
 }
 
-// What is known of an endpoint ends with its life, and what is told of it with time.
+// Guards against state that is kept for ever, and against limits removed too early.
 func TestWhatIsForgotten(t *testing.T) {
 	b := New("d")
 	gone, ended, listed := fleet.Incarnation{ID: "gone"}, fleet.Incarnation{ID: "ended"}, fleet.Incarnation{ID: "listed"}
@@ -104,28 +105,28 @@
 	b.ObserveReport(at(1), at(0.5), ended, 0, false)
 	there := func(l fleet.Incarnation) bool { return l != gone }
 	if dropped := b.Prune(at(30), there); len(dropped) != 0 {
-		t.Errorf("%v forgotten though the list may be old", dropped)
+		t.Errorf("%v removed though the list may be old", dropped)
 	}
 	if dropped := b.Prune(at(100), there); len(dropped) != 1 || dropped[0].Incarnation != gone {
-		t.Errorf("%v forgotten, want the one that is gone", dropped)
+		t.Errorf("%v removed, want only the incarnation that is not listed", dropped)
 	}
 	if _, known := b.Latest(ended); !known {
-		t.Error("the end of a limit is forgotten while late words of it may come")
+		t.Error("the end of a limit was removed while late reports may arrive")
 	}
 	b.Prune(at(1000), there)
 	if _, known := b.Latest(ended); known {
-		t.Error("the end of a limit is remembered for ever")
+		t.Error("the end of a limit was not removed")
 	}
 	if _, known := b.Latest(listed); !known {
-		t.Error("the limit of an endpoint that is there is forgotten")
+		t.Error("the limit of a listed endpoint was removed")
 	}
 	if !Stale(at(1000), uint64(at(0).UnixMilli())) || Stale(at(300), uint64(at(0).UnixMilli())) {
-		t.Error("facts are forgotten too early or too late")
+		t.Error("reports become stale too early or too late")
 	}
 }
 
-// Daemons that tell each other what they have heard, in any order and any number of times, come
-// to the same belief.
+// Guards against daemons that hold different reports although they have exchanged all of them, in
+// any order.
 func TestAllComeToOneBelief(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		books := []*Tracker{New("a"), New("b"), New("c")}
