--- a/coordination/limit/book.go
+++ b/coordination/limit/book.go
@@ -35,69 +35,69 @@
 	// owner of the limit receives changes with each draw. The begin or end of a limit is published
 	// at once, unless the previous publication was less than publishToggleEvery ago, so that an
 	// endpoint which alternates between both costs no more.
-	tellChange = time.Second
-	tellTurn   = 100 * time.Millisecond
+	publishEvery       = time.Second
+	publishToggleEvery = 100 * time.Millisecond
 	// Retention is how long the end of a limit is kept, so that late reports of the limit are
 	// ignored.
 	Retention = 10 * time.Minute
 )
 
 // state is the state of one incarnation of an endpoint.
-type belief struct {
-	word Report
+type state struct {
+	report Report
 	// receivedAt is when the report last arrived. An answer to a request that was sent after it is
 	// newer; the order of other answers is unknown.
-	learned time.Time
-	told    Report
-	toldAt  time.Time
+	receivedAt  time.Time
+	published   Report
+	publishedAt time.Time
 }
 
 // Tracker holds the reports that one daemon has received. It is not safe for concurrent use.
 type Tracker struct {
-	self    string
-	beliefs map[fleet.Incarnation]*belief
+	self   string
+	states map[fleet.Incarnation]*state
 }
 
 // New returns a tracker without reports.
-func New(self string) *Tracker { return &Tracker{self: self, beliefs: map[fleet.Incarnation]*belief{}} }
+func New(self string) *Tracker { return &Tracker{self: self, states: map[fleet.Incarnation]*state{}} }
 
 // ObserveReport processes what an answer reports to a request sent at the given time. It returns
 // the change to apply or publish, and whether there is one.
-func (b *Tracker) ObserveReport(now, sent time.Time, life fleet.Incarnation, rate float64, limited bool) (Change, bool) {
-	k := b.beliefs[life]
+func (t *Tracker) ObserveReport(now, sent time.Time, inc fleet.Incarnation, rate float64, limited bool) (Change, bool) {
+	s := t.states[inc]
 	switch {
-	case k == nil && !limited:
+	case s == nil && !limited:
 		return Change{}, false
-	case k == nil:
-		k = &belief{}
-		b.beliefs[life] = k
-	case sent.Before(k.learned):
+	case s == nil:
+		s = &state{}
+		t.states[inc] = s
+	case sent.Before(s.receivedAt):
 		return Change{}, false // the answer may be older than the current report
 	}
-	k.learned = now
-	before := k.word
+	s.receivedAt = now
+	before := s.report
 	if before.Limited == limited && (!limited || before.Rate == rate) {
-		return b.overdue(now, life, k)
+		return t.overdue(now, inc, s)
 	}
-	k.word = Report{Rate: rate, Limited: limited, Version: max(before.Version+1, uint64(now.UnixMilli())), Reporter: b.self}
-	least := tellChange
+	s.report = Report{Rate: rate, Limited: limited, Version: max(before.Version+1, uint64(now.UnixMilli())), Reporter: t.self}
+	minInterval := publishEvery
 	if before.Limited != limited {
-		least = tellTurn
+		minInterval = publishToggleEvery
 	}
-	tell := now.Sub(k.toldAt) >= least
-	if tell {
-		k.told, k.toldAt = k.word, now
+	publish := now.Sub(s.publishedAt) >= minInterval
+	if publish {
+		s.published, s.publishedAt = s.report, now
 	}
-	return Change{Incarnation: life, Before: before, Now: k.word, Publish: tell}, true
+	return Change{Incarnation: inc, Before: before, Now: s.report, Publish: publish}, true
 }
 
 // TakePending returns the changes that were not published when they occurred and are due now, and
 // marks them as published.
-func (b *Tracker) TakePending(now time.Time) []Change {
+func (t *Tracker) TakePending(now time.Time) []Change {
 	var list []Change
-	for life, k := range b.beliefs {
-		if k.untold(b.self, now) {
-			list = append(list, k.tell(now, life))
+	for inc, s := range t.states {
+		if s.pending(t.self, now) {
+			list = append(list, s.publish(now, inc))
 		}
 	}
 	return list
@@ -105,33 +105,33 @@
 
 // overdue returns a change that was not published when it occurred, or a limit that was published
 // so long ago that newly started daemons would not receive it.
-func (b *Tracker) overdue(now time.Time, life fleet.Incarnation, k *belief) (Change, bool) {
-	if k.word.Limited && k.word.age(now) > Retention/2 {
-		k.word.Version, k.word.Reporter = uint64(now.UnixMilli()), b.self
-		return k.tell(now, life), true
+func (t *Tracker) overdue(now time.Time, inc fleet.Incarnation, s *state) (Change, bool) {
+	if s.report.Limited && s.report.age(now) > Retention/2 {
+		s.report.Version, s.report.Reporter = uint64(now.UnixMilli()), t.self
+		return s.publish(now, inc), true
 	}
-	if k.untold(b.self, now) {
-		return k.tell(now, life), true
+	if s.pending(t.self, now) {
+		return s.publish(now, inc), true
 	}
 	return Change{}, false
 }
 
 // pending reports whether the daemon should now publish a report that it has received and not
 // published.
-func (k *belief) untold(self string, now time.Time) bool {
-	return k.word.Reporter == self && k.told.Version != k.word.Version && now.Sub(k.toldAt) >= tellChange
+func (s *state) pending(self string, now time.Time) bool {
+	return s.report.Reporter == self && s.published.Version != s.report.Version && now.Sub(s.publishedAt) >= publishEvery
 }
 
 // publish marks the latest report as published, and returns it as a change.
-func (k *belief) tell(now time.Time, life fleet.Incarnation) Change {
-	k.told, k.toldAt = k.word, now
-	return Change{Incarnation: life, Before: k.word, Now: k.word, Publish: true}
+func (s *state) publish(now time.Time, inc fleet.Incarnation) Change {
+	s.published, s.publishedAt = s.report, now
+	return Change{Incarnation: inc, Before: s.report, Now: s.report, Publish: true}
 }
 
 // age returns the approximate age of a report: its version is the Unix time in milliseconds unless
 // reports arrived faster than that.
-func (w Report) age(now time.Time) time.Duration {
-	return time.Duration(now.UnixMilli()-int64(w.Version)) * time.Millisecond
+func (r Report) age(now time.Time) time.Duration {
+	return time.Duration(now.UnixMilli()-int64(r.Version)) * time.Millisecond
 }
 
 // Stale reports whether a report of the given version is older than Retention.
@@ -139,41 +139,41 @@
 
 // ReceiveReport processes a report that another daemon has received. It returns the change to
 // apply, and whether there is one.
-func (b *Tracker) ReceiveReport(now time.Time, life fleet.Incarnation, w Report) (Change, bool) {
-	k := b.beliefs[life]
-	if k == nil {
-		k = &belief{}
-		b.beliefs[life] = k
+func (t *Tracker) ReceiveReport(now time.Time, inc fleet.Incarnation, r Report) (Change, bool) {
+	s := t.states[inc]
+	if s == nil {
+		s = &state{}
+		t.states[inc] = s
 	}
-	if w.Version <= k.word.Version {
+	if r.Version <= s.report.Version {
 		return Change{}, false
 	}
-	before := k.word
-	k.word, k.learned = w, now
-	k.told, k.toldAt = w, now
-	return Change{Incarnation: life, Before: before, Now: w}, before.Limited != w.Limited || before.Rate != w.Rate
+	before := s.report
+	s.report, s.receivedAt = r, now
+	s.published, s.publishedAt = r, now
+	return Change{Incarnation: inc, Before: before, Now: r}, before.Limited != r.Limited || before.Rate != r.Rate
 }
 
 // Latest returns the latest report of an incarnation.
-func (b *Tracker) Latest(life fleet.Incarnation) (Report, bool) {
-	if k := b.beliefs[life]; k != nil {
-		return k.word, true
+func (t *Tracker) Latest(inc fleet.Incarnation) (Report, bool) {
+	if s := t.states[inc]; s != nil {
+		return s.report, true
 	}
 	return Report{}, false
 }
 
 // Prune removes limits of incarnations that are not listed, and limits that ended long ago. It
 // returns the active limits that it removed.
-func (b *Tracker) Prune(now time.Time, listed func(fleet.Incarnation) bool) []Change {
+func (t *Tracker) Prune(now time.Time, listed func(fleet.Incarnation) bool) []Change {
 	var dropped []Change
-	for life, k := range b.beliefs {
-		long := now.Sub(k.learned) > Retention
+	for inc, s := range t.states {
+		expired := now.Sub(s.receivedAt) > Retention
 		switch {
-		case k.word.Limited && !listed(life) && now.Sub(k.learned) > unlistedFor:
-			dropped = append(dropped, Change{Incarnation: life, Before: k.word})
-			delete(b.beliefs, life)
-		case !k.word.Limited && long:
-			delete(b.beliefs, life)
+		case s.report.Limited && !listed(inc) && now.Sub(s.receivedAt) > unlistedFor:
+			dropped = append(dropped, Change{Incarnation: inc, Before: s.report})
+			delete(t.states, inc)
+		case !s.report.Limited && expired:
+			delete(t.states, inc)
 		}
 	}
 	return dropped
@@ -184,11 +184,11 @@
 const unlistedFor = time.Minute
 
 // Limited returns the incarnations that report a limit now, with their latest reports.
-func (b *Tracker) Limited() map[fleet.Incarnation]Report {
+func (t *Tracker) Limited() map[fleet.Incarnation]Report {
 	limited := map[fleet.Incarnation]Report{}
-	for life, k := range b.beliefs {
-		if k.word.Limited {
-			limited[life] = k.word
+	for inc, s := range t.states {
+		if s.report.Limited {
+			limited[inc] = s.report
 		}
 	}
 	return limited
--- a/coordination/limit/rate.go
+++ b/coordination/limit/rate.go
@@ -13,13 +13,13 @@
 // minRate is the least rate, in requests a second, at which requests are sent to an endpoint that
 // reports a lower limit: only an answer can show that the limit has ended. It is part of the
 // requests that Bounds allow in addition to any limit.
-const trickle = 0.25
+const minRate = 0.25
 
 // Limits returns the quota limits for a report.
-func (w Report) Limits() quota.Limits { return quota.Limits{Rate: max(w.Rate, trickle)} }
+func (r Report) Limits() quota.Limits { return quota.Limits{Rate: max(r.Rate, minRate)} }
 
 // Capacity returns how many requests with the given run time an endpoint can have running under its
 // limit: by Little's law, and at least one.
-func (w Report) Capacity(runTime time.Duration) int {
-	return max(1, int(w.Rate*runTime.Seconds()+0.5))
+func (r Report) Capacity(runTime time.Duration) int {
+	return max(1, int(r.Rate*runTime.Seconds()+0.5))
 }
