--- a/coordination/backpressure/book.go
+++ b/coordination/backpressure/book.go
@@ -1,10 +1,10 @@
-// Package backpressure decides whether a request may go to an endpoint now, from what the endpoint
-// has said of itself in its answers: that it leaves, that it wants a pause, or that it has no room
-// within a rate. All of it holds for one life of the endpoint. The package does no I/O: what was
-// said and the time go in, decisions come out.
+// Package backpressure decides whether a request may go to an endpoint now, from the backpressure
+// signals in the endpoint's answers: that it leaves, that it wants a pause, or that its rate limit
+// is used up. All signals hold for one incarnation of the endpoint. The package does no I/O:
+// callers pass signals and the time, and apply the decisions that it returns.
 //
-// Invariants: a life that has said that it leaves is never open again; a pause ends at its time and
-// not before, whatever else is said.
+// Invariants: an incarnation that has reported leaving is never open again; a pause ends at its
+// time and not earlier, whatever other signals arrive.
 package backpressure
 
 import (
@@ -32,65 +32,69 @@
 // Decision says whether a request may go to an endpoint now.
 type Decision struct {
 	Open bool
-	// LastResort: the endpoint leaves, and may still serve what no other endpoint can.
+	// LastResort: the endpoint leaves, but may still serve requests that no other endpoint can
+	// serve.
 	LastResort bool
 	Reason     Reason
-	// In is the time until the endpoint is open; without meaning for one that is, or that leaves.
+	// OpensIn is the time until the endpoint is open. It is meaningless if the endpoint is open or
+	// leaves.
 	OpensIn time.Duration
 }
 
-// Closed reports whether the endpoint takes no request at all now.
+// Closed reports whether the endpoint takes no requests at all now.
 func (d Decision) Closed() bool { return !d.Open && !d.LastResort }
 
-// Options configure a Book.
+// Options configure a Tracker.
 type Options struct {
-	// LeaveWithin is how long after an endpoint has said that it leaves requests may come to it.
+	// LeaveWithin is how long after an endpoint has reported leaving requests may still arrive
+	// there.
 	LeaveWithin time.Duration
-	Seed        uint64 // of the spread of daemons after a pause
+	Seed        uint64 // randomizes when daemons resume after a pause
 }
 
 const (
-	// lastResortPart is the part of Options.LeaveWithin for which a leaving endpoint serves what
-	// no other can. The rest is for requests on their way.
+	// lastResortShare is the share of Options.LeaveWithin during which a leaving endpoint serves as
+	// a last resort. The rest is for requests in transit.
 	lastResortPart = 0.75
-	// trialEvery is the pause between two requests to an endpoint whose pause is over, until an
+	// probeEvery is the time between two requests to an endpoint whose pause is over, until an
 	// answer shows that it takes requests again.
 	trialEvery = 100 * time.Millisecond
-	// remember is how long an endpoint that is not listed is remembered: its entry may be back.
+	// retention is how long the state of an endpoint that is not listed is kept: its entry in the
+	// list may return.
 	remember = 10 * time.Minute
 )
 
-// Book is what one daemon knows. It is safe for concurrent use; a question about an endpoint that
-// has said nothing takes no lock.
+// Tracker holds the backpressure signals that one daemon has received. It is safe for concurrent
+// use. Decisions on endpoints without signals take no lock.
 type Tracker struct {
 	opt     Options
 	daemons atomic.Int64
-	entries atomic.Pointer[map[string]*entry] // by id; replaced when an id is added or dropped
+	entries atomic.Pointer[map[string]*entry] // by id; the map is replaced when an id is added or removed
 
-	mu sync.Mutex // guards the replacing of entries; locked before that of an entry
+	mu sync.Mutex // guards the replacement of entries; locked before the mutex of an entry
 
 	rngMu sync.Mutex
 	rng   *rand.Rand
 }
 
-// entry is the newest life of an id that has said something.
+// entry is the state of the latest incarnation of an id that has sent a signal.
 type entry struct {
 	mu   sync.Mutex
 	life fleet.Incarnation
-	// closesAt is when a leaving endpoint takes no more requests; zero: it does not leave.
+	// closesAt is when a leaving endpoint takes no more requests; zero if it does not leave.
 	closesAt   time.Time
 	pauseUntil time.Time
-	spread     time.Duration // of the present pause, part of pauseUntil
-	// resuming: no answer has shown yet, since the pause began, that requests are taken again.
+	spread     time.Duration // included in pauseUntil of the current pause
+	// resuming: since the pause began, no answer has shown that the endpoint takes requests again.
 	resuming bool
 	triedAt  time.Time
-	noRoom   time.Time // within its limit, until then
+	noRoom   time.Time // the rate limit is used up until then
 	limit    limit.Report
-	said     time.Time // last
+	said     time.Time // time of the latest signal
 	line     line
 }
 
-// New returns a book in which nothing was said.
+// New returns a tracker without signals.
 func New(opt Options) *Tracker {
 	b := &Tracker{opt: opt, rng: rand.New(rand.NewPCG(opt.Seed, 0))}
 	b.entries.Store(&map[string]*entry{})
@@ -98,13 +102,13 @@
 	return b
 }
 
-// Share tells how many daemons share the requests.
+// SetDaemons sets how many daemons share the requests.
 func (b *Tracker) SetDaemons(daemons int) { b.daemons.Store(int64(max(1, daemons))) }
 
-// Silent reports whether no life of an id has said anything; it is cheaper than a Look.
+// HasNoReport reports whether no incarnation of an id has sent a signal. It is cheaper than Peek.
 func (b *Tracker) HasNoReport(id string) bool { return (*b.entries.Load())[id] == nil }
 
-// find returns the locked entry of a life, nil if that has said nothing.
+// find returns the locked entry of an incarnation, nil if there is none.
 func (b *Tracker) find(life fleet.Incarnation) *entry {
 	e := (*b.entries.Load())[life.ID]
 	if e == nil {
@@ -118,7 +122,8 @@
 	return e
 }
 
-// take returns the locked entry of a life, a new one if need be; nil if a later life is known.
+// findOrAdd returns the locked entry of an incarnation, and adds one if needed. It returns nil if a
+// later incarnation is known.
 func (b *Tracker) take(now time.Time, life fleet.Incarnation) *entry {
 	b.mu.Lock()
 	e := (*b.entries.Load())[life.ID]
@@ -143,15 +148,15 @@
 	return e
 }
 
-// reset begins another life.
+// reset clears the entry for another incarnation.
 func (e *entry) reset(life fleet.Incarnation) {
 	e.life, e.closesAt, e.pauseUntil, e.spread, e.resuming, e.triedAt = life, time.Time{}, time.Time{}, 0, false, time.Time{}
 	e.noRoom, e.limit, e.line = time.Time{}, limit.Report{}, line{}
 }
 
-// Leaves takes the word of a life that it leaves, from itself or another daemon. ready is up to
-// when the platform's list is known to have named it as not leaving, zero if it has not. It
-// reports whether that is news.
+// SetLeaving processes the report that an incarnation leaves, received from itself or from another
+// daemon. ready is the latest time at which the platform's list is known to have shown it as not
+// leaving, zero if there is none. It reports whether the report is new.
 func (b *Tracker) SetLeaving(now time.Time, life fleet.Incarnation, ready time.Time) bool {
 	e := b.take(now, life)
 	if e == nil {
@@ -168,7 +173,7 @@
 	return true
 }
 
-// Leaving reports whether a life has said that it leaves.
+// IsLeaving reports whether an incarnation has reported leaving.
 func (b *Tracker) IsLeaving(life fleet.Incarnation) bool {
 	e := b.find(life)
 	if e == nil {
@@ -178,8 +183,9 @@
 	return !e.closesAt.IsZero()
 }
 
-// Pause takes the word of a life that this daemon must send nothing for a while; slots is how many
-// requests it works on at once. The longest word counts. It reports whether a pause begins.
+// ObservePause processes an incarnation's request that this daemon send nothing for a while. slots
+// is the number of requests that the endpoint works on at once. The latest end of several pauses
+// counts. It reports whether a pause begins.
 func (b *Tracker) ObservePause(now time.Time, life fleet.Incarnation, d time.Duration, slots int) bool {
 	e := b.take(now, life)
 	if e == nil {
@@ -195,9 +201,9 @@
 	return begins
 }
 
-// spread returns by how much later than the endpoint has asked for this daemon resumes. Each daemon
-// sends one request first: within the spread as many daemons resume as the endpoint works on
-// requests in a second, so that they do not all come at once.
+// randomSpread returns how much later than the endpoint has asked for this daemon resumes. Each
+// daemon sends one request first. The spread is so long that in each second as many daemons resume
+// as the endpoint has slots, so that they do not all resume at once.
 func (b *Tracker) spread(d time.Duration, slots int) time.Duration {
 	all := time.Duration(float64(b.daemons.Load()) / float64(max(1, slots)) * float64(time.Second))
 	b.rngMu.Lock()
@@ -205,8 +211,9 @@
 	return time.Duration(b.rng.Float64() * float64(min(d, all)))
 }
 
-// Answered takes an answer without a word of a pause, to a request that was sent at some time: an
-// endpoint that takes requests after a pause is open again. It reports whether that is news.
+// ObserveAnswer processes an answer without a pause to a request sent at the given time: an
+// endpoint that answers a request sent after its pause is open again. It reports whether that is
+// new.
 func (b *Tracker) ObserveAnswer(now, sent time.Time, life fleet.Incarnation) bool {
 	e := b.find(life)
 	if e == nil {
@@ -220,7 +227,7 @@
 	return true
 }
 
-// Limit takes the limit that a life names, or that it names none any more.
+// SetLimit sets the rate limit that an incarnation reports, or that it reports none any more.
 func (b *Tracker) SetLimit(now time.Time, life fleet.Incarnation, w limit.Report) {
 	e := b.take(now, life)
 	if e == nil {
@@ -233,7 +240,7 @@
 	}
 }
 
-// Full keeps requests away for a while from an endpoint that has no room within its limit.
+// CloseFor closes an endpoint whose rate limit is used up for the given time.
 func (b *Tracker) CloseFor(now time.Time, life fleet.Incarnation, d time.Duration) {
 	e := b.take(now, life)
 	if e == nil {
@@ -243,7 +250,7 @@
 	e.noRoom = now.Add(d)
 }
 
-// Look says whether a request might go to an endpoint now.
+// Peek decides whether a request could go to an endpoint now, without admitting it.
 func (b *Tracker) Peek(now time.Time, life fleet.Incarnation, a Request) Decision {
 	e := b.find(life)
 	if e == nil {
@@ -253,8 +260,9 @@
 	return e.decideFor(now, a)
 }
 
-// Admit is the last question before a request is sent: an endpoint whose pause has just ended is
-// taken by it for a moment. Decision.LastResort admits it, too.
+// Admit decides on a request immediately before it is sent. If the pause of the endpoint has just
+// ended, an admitted request closes the endpoint for probeEvery. A decision with LastResort admits
+// the request, too.
 func (b *Tracker) Admit(now time.Time, life fleet.Incarnation, a Request) Decision {
 	e := b.find(life)
 	if e == nil {
@@ -268,7 +276,8 @@
 	return d
 }
 
-// decideFor is decide for one request: where others wait before it, the endpoint is not open.
+// decideFor is decide for one request: the endpoint is not open if other requests wait before this
+// one.
 func (e *entry) decideFor(now time.Time, a Request) Decision {
 	d := e.decide(now)
 	if d.Closed() || !e.orders() || e.line.ahead(a) == 0 {
@@ -281,7 +290,7 @@
 	return Decision{Reason: reason, OpensIn: trialEvery}
 }
 
-// decide is the one decision on what a life has said.
+// decide returns the decision that follows from the signals of an incarnation.
 func (e *entry) decide(now time.Time) Decision {
 	opens, reason := e.noRoom, Limited
 	if e.resuming {
@@ -300,7 +309,7 @@
 	return Decision{Open: true}
 }
 
-// nextTrial returns when the next request may go to an endpoint that resumes.
+// nextProbe returns when the next request may go to an endpoint that resumes.
 func (e *entry) nextTrial() time.Time {
 	if e.triedAt.IsZero() {
 		return time.Time{}
@@ -308,7 +317,7 @@
 	return e.triedAt.Add(trialEvery)
 }
 
-// LimitOf returns the limit that a life names.
+// LimitOf returns the rate limit that an incarnation reports.
 func (b *Tracker) LimitOf(life fleet.Incarnation) (limit.Report, bool) {
 	e := b.find(life)
 	if e == nil {
@@ -318,7 +327,7 @@
 	return e.limit, e.limit.Limited
 }
 
-// Keep forgets endpoints that are not listed and have said nothing in a long time.
+// Prune removes endpoints that are not listed and have sent no signal for longer than retention.
 func (b *Tracker) Prune(now time.Time, listed func(fleet.Incarnation) bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -335,7 +344,7 @@
 	return now.Sub(e.said) > remember && now.After(e.pauseUntil) && !listed(e.life)
 }
 
-// Counts returns how many endpoints leave, and how many are in a pause.
+// Counts returns the number of endpoints that leave and the number that are paused.
 func (b *Tracker) Counts(now time.Time) (leaving, paused int) {
 	for _, e := range *b.entries.Load() {
 		e.mu.Lock()
--- a/coordination/backpressure/book_test.go
+++ b/coordination/backpressure/book_test.go
@@ -22,8 +22,8 @@
 
 var one = fleet.Incarnation{ID: "e", StartUnixMs: 1000}
 
-// Guards against a pause that ends early: by a success of an older request, by a shorter word, by
-// one without a word, or by a limit that has room again.
+// Guards against a pause that ends early: by an answer to an older request, by a shorter pause, by
+// an answer without a pause, or by a rate limit that has room again.
 func TestPauseEndsAtItsTimeOnly(t *testing.T) {
 	b := newBook()
 	b.ObservePause(start, one, 3*time.Second, 64)
@@ -43,22 +43,22 @@
 	b.ObservePause(at(4*time.Second), one, time.Second, 64)
 	b.ObservePause(at(4*time.Second), one, 9*time.Second, 64)
 	if got := b.Peek(at(12*time.Second), one, Request{}); got.Open {
-		t.Error("the longest word does not count")
+		t.Error("the longest pause does not count")
 	}
 }
 
-// Guards against a crowd after a pause: one request at a time goes to the endpoint until an answer
-// to one that was sent after the pause shows that it takes requests again.
+// Guards against many requests at once after a pause: one request at a time goes to the endpoint
+// until an answer to a request sent after the pause shows that it takes requests again.
 func TestAfterAPauseOneRequestTries(t *testing.T) {
 	b := newBook()
 	b.ObservePause(start, one, time.Second, 64)
 	now := at(2 * time.Second)
 	if !b.Admit(now, one, Request{}).Open || b.Admit(now, one, Request{}).Open || b.Peek(now, one, Request{}).Open {
-		t.Fatal("not just one request at once")
+		t.Fatal("not exactly one request is admitted at once")
 	}
 	now = now.Add(trialEvery)
 	if !b.Admit(now, one, Request{}).Open {
-		t.Fatal("none follows one that is not answered")
+		t.Fatal("no request follows one that is not answered")
 	}
 	b.ObserveAnswer(now, start, one)
 	if b.Admit(now, one, Request{}).Open {
@@ -72,7 +72,7 @@
 	}
 }
 
-// Guards against daemons that all resume in one moment.
+// Guards against daemons that all resume at the same moment.
 func TestDaemonsResumeAtDifferentTimes(t *testing.T) {
 	const daemons, slots = 375, 64
 	perSecond := map[int64]int{}
@@ -93,8 +93,8 @@
 	}
 }
 
-// Guards against a leaving endpoint that is used after the time in which requests may come to it,
-// and against one that is not used where nothing else serves.
+// Guards against a leaving endpoint that is used after the time in which requests may arrive there,
+// and against one that is not used although nothing else can serve.
 func TestLeavingEndpointIsALastResortForAWhile(t *testing.T) {
 	for name, c := range map[string]struct {
 		ready time.Time
@@ -107,7 +107,7 @@
 		t.Run(name, func(t *testing.T) {
 			b := newBook()
 			if !b.SetLeaving(start, one, c.ready) || b.SetLeaving(at(time.Second), one, at(time.Second)) {
-				t.Fatal("news once, whoever tells it again")
+				t.Fatal("the report that the endpoint leaves must be new once, whoever repeats it")
 			}
 			for d := time.Duration(0); d < 5*time.Second; d += 100 * time.Millisecond {
 				got := b.Admit(at(d), one, Request{})
@@ -119,29 +119,29 @@
 	}
 }
 
-// Guards against words of one life that are taken for another's.
+// Guards against signals of one incarnation that are applied to another.
 func TestWordsHoldForOneLife(t *testing.T) {
 	b := newBook()
 	next := fleet.Incarnation{ID: "e", StartUnixMs: 2000}
 	b.SetLeaving(start, one, start)
 	b.ObservePause(start, one, time.Minute, 1)
 	if !b.Peek(start, next, Request{}).Open {
-		t.Error("the next life is closed")
+		t.Error("the next incarnation is closed")
 	}
 	b.ObservePause(start, next, time.Second, 1)
 	b.SetLeaving(start, one, start)
 	if got := b.Peek(start, next, Request{}); got.Reason != Paused || got.OpensIn > 2*time.Second {
-		t.Errorf("a late word of the life before changed it: %+v", got)
+		t.Errorf("a late signal of the previous incarnation changed the next: %+v", got)
 	}
 	unborn := fleet.Incarnation{ID: "u"}
 	b.SetLeaving(start, unborn, time.Time{})
 	if b.Peek(start, fleet.Incarnation{ID: "u", StartUnixMs: 5}, Request{}).Open {
-		t.Error("a word is lost where the start of the life is told later")
+		t.Error("a signal is lost where the start of the incarnation becomes known later")
 	}
 }
 
-// Whatever is said in whatever order, a life that leaves is never open, and no request is admitted
-// within the time that was asked for.
+// Guards against signals that cancel each other: in any order, an incarnation that leaves is never
+// open, and no request is admitted within a requested pause.
 func TestWhatWasSaidIsKept(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := newBook()
@@ -174,9 +174,9 @@
 				d := b.Admit(now, one, Request{})
 				switch {
 				case left && d.Open:
-					t.Fatalf("open after it has said that it leaves: %+v", d)
+					t.Fatalf("open after it has reported leaving: %+v", d)
 				case left && d.LastResort && !now.Before(leftAt.Add(leaveWithin)):
-					t.Fatalf("used %v after it has said that it leaves", now.Sub(leftAt))
+					t.Fatalf("used %v after it has reported leaving", now.Sub(leftAt))
 				case !d.Closed() && now.Before(asked):
 					t.Fatalf("admitted %v before the end of a pause", asked.Sub(now))
 				}
@@ -185,8 +185,8 @@
 	})
 }
 
-// Guards against locks that are taken in two orders: endpoints are forgotten while others ask for a
-// pause.
+// Guards against deadlocks by locks taken in different orders: endpoints are pruned while others
+// ask for a pause.
 func TestBookIsSafeForConcurrentUse(t *testing.T) {
 	b := newBook()
 	var wg sync.WaitGroup
--- a/coordination/backpressure/line.go
+++ b/coordination/backpressure/line.go
@@ -7,48 +7,49 @@
 	"github.com/doorvalve/doorvalve/state/fleet"
 )
 
-// Ask is a request that would go to an endpoint. The more urgent comes first, then the one whose
-// caller leaves first: a caller that comes back goes before those that came after it.
+// Request is a request that may go to an endpoint. The more urgent comes first, then the one whose
+// caller gives up first: a retrying caller thereby comes before callers that arrived later.
 type Request struct {
-	Rank     int // 0 is first
+	Rank     int // 0 is the most urgent
 	Deadline time.Time
-	Waiter   *Waiter // in the line, if it waits; nil otherwise
+	Waiter   *Waiter // its position in the queue; nil if it does not wait
 }
 
 func (a Request) before(b Request) bool {
 	return a.Rank < b.Rank || a.Rank == b.Rank && a.Deadline.Before(b.Deadline)
 }
 
-// Place is the place of a request that waits at this daemon for one endpoint.
+// Waiter is a request that waits at this daemon for one endpoint.
 type Waiter struct {
 	ask  Request
 	life fleet.Incarnation
 }
 
-// Life returns the endpoint that is waited for.
+// Incarnation returns the endpoint that the request waits for.
 func (p *Waiter) Incarnation() fleet.Incarnation { return p.life }
 
-// promise is a caller that was told when to come back.
+// reservation is a caller that was told when to retry.
 type promise struct {
 	ask  Request
 	back time.Time
 }
 
-// line is who waits at this daemon for one endpoint, and who was sent away.
+// queue holds the requests that wait at this daemon for one endpoint, and the callers that were
+// told when to retry.
 type line struct {
-	waiting  []*Waiter // first come first, in the order of their asks
-	promised []promise // by the time to come back
+	waiting  []*Waiter // sorted by priority of the requests
+	promised []promise // sorted by retry time
 }
 
 const (
-	// promisesMost bounds the callers of one endpoint that are remembered when they are sent away.
+	// maxReservations bounds the reservations for one endpoint.
 	promisesMost = 1024
-	// slowestTurn bounds the time that one request takes to move up in a line, where the rate
-	// is next to nothing or unknown.
+	// maxTurn bounds the time that one request takes to move up in a queue, where the rate is next
+	// to nothing or unknown.
 	slowestTurn = time.Minute
 )
 
-// ahead returns how many of those that wait come before a request.
+// ahead returns how many of the waiting requests come before a request.
 func (l *line) ahead(a Request) int {
 	if i := slices.Index(l.waiting, a.Waiter); i >= 0 {
 		return i
@@ -59,8 +60,8 @@
 	return len(l.waiting)
 }
 
-// turn returns when a request is taken by an endpoint that opens at some time, after all that come
-// before it, at a rate in requests a second.
+// turn returns when an endpoint that opens at the given time takes a request, after all requests
+// that come before it, at a rate in requests a second.
 func (l *line) turn(now, opens time.Time, a Request, rate float64) time.Time {
 	each := slowestTurn
 	if rate > 0 {
@@ -88,7 +89,8 @@
 	l.waiting = slices.DeleteFunc(l.waiting, func(other *Waiter) bool { return other == p })
 }
 
-// promise remembers a caller that was told when to come back, if it may.
+// reserve records a caller that was told when to retry, unless it gives up before or there are too
+// many.
 func (l *line) promise(now time.Time, a Request, back time.Time) {
 	l.promised = slices.DeleteFunc(l.promised, func(p promise) bool { return !p.back.After(now) })
 	if !back.Before(a.Deadline) || len(l.promised) >= promisesMost {
@@ -98,12 +100,12 @@
 	l.promised = slices.Insert(l.promised, i, promise{Request{Rank: a.Rank, Deadline: a.Deadline}, back})
 }
 
-// orders reports whether requests go to an endpoint in the order of its line: not while it takes
-// all that come.
+// ordered reports whether the endpoint takes requests in the order of its queue. While it accepts
+// all requests it does not.
 func (e *entry) orders() bool { return e.resuming || e.limit.Limited }
 
-// Turn returns the time until a request is taken by an endpoint, at this daemon's part of the rate
-// that the endpoint takes, in requests a second.
+// EstimateWait returns the time until an endpoint takes a request, at this daemon's share of the
+// rate that the endpoint accepts, in requests a second.
 func (b *Tracker) EstimateWait(now time.Time, life fleet.Incarnation, a Request, rate float64) time.Duration {
 	e := b.find(life)
 	if e == nil {
@@ -117,7 +119,7 @@
 	return e.line.turn(now, now.Add(d.OpensIn), a, rate).Sub(now)
 }
 
-// Join lets a request wait for an endpoint. It must quit.
+// Enqueue adds a request to the queue of an endpoint. The caller must call Dequeue.
 func (b *Tracker) Enqueue(now time.Time, life fleet.Incarnation, a Request) *Waiter {
 	e := b.take(now, life)
 	if e == nil {
@@ -127,7 +129,7 @@
 	return e.line.join(life, a)
 }
 
-// Quit ends the wait of a request.
+// Dequeue removes a request from its queue.
 func (b *Tracker) Dequeue(p *Waiter) {
 	e := b.find(p.life)
 	if e == nil {
@@ -137,7 +139,7 @@
 	e.line.quit(p)
 }
 
-// Promise notes that a caller was told to come back after a time.
+// ReserveRetry records that a caller was told to retry after a time.
 func (b *Tracker) ReserveRetry(now time.Time, life fleet.Incarnation, a Request, in time.Duration) {
 	e := b.find(life)
 	if e == nil {
--- a/coordination/backpressure/line_test.go
+++ b/coordination/backpressure/line_test.go
@@ -9,8 +9,8 @@
 
 func leavingIn(d time.Duration) Request { return Request{Rank: 1, Deadline: at(d)} }
 
-// Guards against a request that overtakes others which wait: the more urgent comes first, then the
-// one whose caller leaves first, and a new one after all of its rank.
+// Guards against a request that overtakes waiting ones: the more urgent comes first, then the one
+// whose caller gives up first, and a new request after all of its rank.
 func TestLineOrdersThoseThatWait(t *testing.T) {
 	b := newBook()
 	b.SetLimit(start, one, limit.Report{Rate: 2, Limited: true})
@@ -23,14 +23,14 @@
 	}{
 		{"the first", Request{Rank: 1, Deadline: at(5 * time.Second), Waiter: early}, 0},
 		{"the second", Request{Rank: 1, Deadline: at(9 * time.Second), Waiter: late}, 1},
-		{"a new one", leavingIn(15 * time.Second), 2},
-		{"one that comes back", leavingIn(6 * time.Second), 1},
-		{"a more urgent one", Request{Rank: 0, Deadline: at(15 * time.Second)}, 0},
-		{"a less urgent one", Request{Rank: 2, Deadline: at(time.Second)}, 2},
+		{"a new request", leavingIn(15 * time.Second), 2},
+		{"a retrying request", leavingIn(6 * time.Second), 1},
+		{"a more urgent request", Request{Rank: 0, Deadline: at(15 * time.Second)}, 0},
+		{"a less urgent request", Request{Rank: 2, Deadline: at(time.Second)}, 2},
 	} {
 		turn := b.EstimateWait(start, one, c.ask, 0.5)
 		if want := time.Duration(c.ahead) * 2 * time.Second; turn != want {
-			t.Errorf("%s: its turn is in %v, want %v", c.name, turn, want)
+			t.Errorf("%s: wait of %v, want %v", c.name, turn, want)
 		}
 		if d := b.Peek(start, one, c.ask); d.Open != (c.ahead == 0) {
 			t.Errorf("%s: %+v", c.name, d)
@@ -38,16 +38,16 @@
 	}
 	b.Dequeue(early)
 	if d := b.Admit(start, one, Request{Rank: 1, Deadline: at(9 * time.Second), Waiter: late}); !d.Open {
-		t.Errorf("the next is not admitted: %+v", d)
+		t.Errorf("the next waiting request is not admitted: %+v", d)
 	}
 	b.Dequeue(late)
 	if d := b.Peek(start, one, leavingIn(time.Minute)); !d.Open {
-		t.Errorf("nobody waits: %+v", d)
+		t.Errorf("closed though no request waits: %+v", d)
 	}
 }
 
-// Guards against callers that are told one and the same time to come back, and against a new caller
-// that gets the turn of one that was told to come back before.
+// Guards against callers that are all told the same retry time, and against a new caller that takes
+// the place of one that was told to retry before.
 func TestCallersSentAwayHaveTurnsOfTheirOwn(t *testing.T) {
 	b := newBook()
 	b.SetLimit(start, one, limit.Report{Rate: 1, Limited: true})
@@ -57,25 +57,25 @@
 		ask := leavingIn(15*time.Second + time.Duration(i))
 		turn := b.EstimateWait(start, one, ask, 1)
 		if i > 0 && turn != last+time.Second {
-			t.Fatalf("caller %d is told %v, the one before %v", i, turn, last)
+			t.Fatalf("caller %d should retry in %v, the one before in %v", i, turn, last)
 		}
 		b.ReserveRetry(start, one, ask, turn)
 		last = turn
 	}
-	back := leavingIn(15 * time.Second) // the first of them
+	back := leavingIn(15 * time.Second) // the first of these callers
 	if turn := b.EstimateWait(at(time.Second), one, back, 1); turn != 0 {
-		t.Errorf("the first is back in time and waits %v", turn)
+		t.Errorf("the first caller retries in time and has to wait %v", turn)
 	}
 	if turn := b.EstimateWait(at(time.Second), one, leavingIn(16*time.Second), 1); turn < 4*time.Second {
-		t.Errorf("a new caller has its turn in %v, before those that were sent away", turn)
+		t.Errorf("a new caller waits %v, less than the callers that were told to retry", turn)
 	}
 	b.ReserveRetry(start, one, leavingIn(3*time.Second), 10*time.Second)
 	if turn := b.EstimateWait(at(5*time.Second), one, leavingIn(30*time.Second), 1); turn != 0 {
-		t.Errorf("%v for callers that are back by now or have left", turn)
+		t.Errorf("wait of %v for callers whose retry time is over or that have given up", turn)
 	}
 }
 
-// An endpoint that takes all that come has no line.
+// Guards against requests that wait in a queue although the endpoint accepts all requests.
 func TestOpenEndpointHasNoLine(t *testing.T) {
 	b := newBook()
 	b.ObservePause(start, one, time.Second, 64)
@@ -86,6 +86,6 @@
 		t.Errorf("%+v", d)
 	}
 	if turn := b.EstimateWait(now, one, leavingIn(15*time.Second), 1); turn != 0 {
-		t.Errorf("its turn is in %v", turn)
+		t.Errorf("wait of %v, want none", turn)
 	}
 }
