--- a/coordination/backpressure/book.go
+++ b/coordination/backpressure/book.go
@@ -55,13 +55,13 @@
 const (
 	// lastResortShare is the share of Options.LeaveWithin during which a leaving endpoint serves as
 	// a last resort. The rest is for requests in transit.
-	lastResortPart = 0.75
+	lastResortShare = 0.75
 	// probeEvery is the time between two requests to an endpoint whose pause is over, until an
 	// answer shows that it takes requests again.
-	trialEvery = 100 * time.Millisecond
+	probeEvery = 100 * time.Millisecond
 	// retention is how long the state of an endpoint that is not listed is kept: its entry in the
 	// list may return.
-	remember = 10 * time.Minute
+	retention = 10 * time.Minute
 )
 
 // Tracker holds the backpressure signals that one daemon has received. It is safe for concurrent
@@ -79,43 +79,43 @@
 
 // entry is the state of the latest incarnation of an id that has sent a signal.
 type entry struct {
-	mu   sync.Mutex
-	life fleet.Incarnation
+	mu          sync.Mutex
+	incarnation fleet.Incarnation
 	// closesAt is when a leaving endpoint takes no more requests; zero if it does not leave.
 	closesAt   time.Time
 	pauseUntil time.Time
 	spread     time.Duration // included in pauseUntil of the current pause
 	// resuming: since the pause began, no answer has shown that the endpoint takes requests again.
-	resuming bool
-	triedAt  time.Time
-	noRoom   time.Time // the rate limit is used up until then
-	limit    limit.Report
-	said     time.Time // time of the latest signal
-	line     line
+	resuming     bool
+	probedAt     time.Time
+	limitedUntil time.Time // the rate limit is used up until then
+	limit        limit.Report
+	lastSignal   time.Time // time of the latest signal
+	queue        queue
 }
 
 // New returns a tracker without signals.
 func New(opt Options) *Tracker {
-	b := &Tracker{opt: opt, rng: rand.New(rand.NewPCG(opt.Seed, 0))}
-	b.entries.Store(&map[string]*entry{})
-	b.daemons.Store(1)
-	return b
+	t := &Tracker{opt: opt, rng: rand.New(rand.NewPCG(opt.Seed, 0))}
+	t.entries.Store(&map[string]*entry{})
+	t.daemons.Store(1)
+	return t
 }
 
 // SetDaemons sets how many daemons share the requests.
-func (b *Tracker) SetDaemons(daemons int) { b.daemons.Store(int64(max(1, daemons))) }
+func (t *Tracker) SetDaemons(daemons int) { t.daemons.Store(int64(max(1, daemons))) }
 
 // HasNoReport reports whether no incarnation of an id has sent a signal. It is cheaper than Peek.
-func (b *Tracker) HasNoReport(id string) bool { return (*b.entries.Load())[id] == nil }
+func (t *Tracker) HasNoReport(id string) bool { return (*t.entries.Load())[id] == nil }
 
 // find returns the locked entry of an incarnation, nil if there is none.
-func (b *Tracker) find(life fleet.Incarnation) *entry {
-	e := (*b.entries.Load())[life.ID]
+func (t *Tracker) find(inc fleet.Incarnation) *entry {
+	e := (*t.entries.Load())[inc.ID]
 	if e == nil {
 		return nil
 	}
 	e.mu.Lock()
-	if !e.life.Matches(life) {
+	if !e.incarnation.Matches(inc) {
 		e.mu.Unlock()
 		return nil
 	}
@@ -124,41 +124,41 @@
 
 // findOrAdd returns the locked entry of an incarnation, and adds one if needed. It returns nil if a
 // later incarnation is known.
-func (b *Tracker) take(now time.Time, life fleet.Incarnation) *entry {
-	b.mu.Lock()
-	e := (*b.entries.Load())[life.ID]
+func (t *Tracker) findOrAdd(now time.Time, inc fleet.Incarnation) *entry {
+	t.mu.Lock()
+	e := (*t.entries.Load())[inc.ID]
 	if e == nil {
-		e = &entry{life: life}
-		next := maps.Clone(*b.entries.Load())
-		next[life.ID] = e
-		b.entries.Store(&next)
+		e = &entry{incarnation: inc}
+		next := maps.Clone(*t.entries.Load())
+		next[inc.ID] = e
+		t.entries.Store(&next)
 	}
-	b.mu.Unlock()
+	t.mu.Unlock()
 	e.mu.Lock()
 	switch {
-	case life.Before(e.life):
+	case inc.Before(e.incarnation):
 		e.mu.Unlock()
 		return nil
-	case !e.life.Matches(life):
-		e.reset(life)
-	case e.life.StartUnixMs == 0:
-		e.life = life
+	case !e.incarnation.Matches(inc):
+		e.reset(inc)
+	case e.incarnation.StartUnixMs == 0:
+		e.incarnation = inc
 	}
-	e.said = now
+	e.lastSignal = now
 	return e
 }
 
 // reset clears the entry for another incarnation.
-func (e *entry) reset(life fleet.Incarnation) {
-	e.life, e.closesAt, e.pauseUntil, e.spread, e.resuming, e.triedAt = life, time.Time{}, time.Time{}, 0, false, time.Time{}
-	e.noRoom, e.limit, e.line = time.Time{}, limit.Report{}, line{}
+func (e *entry) reset(inc fleet.Incarnation) {
+	e.incarnation, e.closesAt, e.pauseUntil, e.spread, e.resuming, e.probedAt = inc, time.Time{}, time.Time{}, 0, false, time.Time{}
+	e.limitedUntil, e.limit, e.queue = time.Time{}, limit.Report{}, queue{}
 }
 
 // SetLeaving processes the report that an incarnation leaves, received from itself or from another
 // daemon. ready is the latest time at which the platform's list is known to have shown it as not
 // leaving, zero if there is none. It reports whether the report is new.
-func (b *Tracker) SetLeaving(now time.Time, life fleet.Incarnation, ready time.Time) bool {
-	e := b.take(now, life)
+func (t *Tracker) SetLeaving(now time.Time, inc fleet.Incarnation, ready time.Time) bool {
+	e := t.findOrAdd(now, inc)
 	if e == nil {
 		return false
 	}
@@ -168,14 +168,14 @@
 	}
 	e.closesAt = now
 	if !ready.IsZero() {
-		e.closesAt = earlier(now, ready).Add(time.Duration(lastResortPart * float64(b.opt.LeaveWithin)))
+		e.closesAt = earlier(now, ready).Add(time.Duration(lastResortShare * float64(t.opt.LeaveWithin)))
 	}
 	return true
 }
 
 // IsLeaving reports whether an incarnation has reported leaving.
-func (b *Tracker) IsLeaving(life fleet.Incarnation) bool {
-	e := b.find(life)
+func (t *Tracker) IsLeaving(inc fleet.Incarnation) bool {
+	e := t.find(inc)
 	if e == nil {
 		return false
 	}
@@ -186,36 +186,36 @@
 // ObservePause processes an incarnation's request that this daemon send nothing for a while. slots
 // is the number of requests that the endpoint works on at once. The latest end of several pauses
 // counts. It reports whether a pause begins.
-func (b *Tracker) ObservePause(now time.Time, life fleet.Incarnation, d time.Duration, slots int) bool {
-	e := b.take(now, life)
+func (t *Tracker) ObservePause(now time.Time, inc fleet.Incarnation, d time.Duration, slots int) bool {
+	e := t.findOrAdd(now, inc)
 	if e == nil {
 		return false
 	}
 	defer e.mu.Unlock()
 	begins := !now.Before(e.pauseUntil)
 	if begins {
-		e.spread = b.spread(d, slots)
+		e.spread = t.randomSpread(d, slots)
 	}
 	e.pauseUntil = later(e.pauseUntil, now.Add(d+e.spread))
-	e.resuming, e.triedAt = true, time.Time{}
+	e.resuming, e.probedAt = true, time.Time{}
 	return begins
 }
 
 // randomSpread returns how much later than the endpoint has asked for this daemon resumes. Each
 // daemon sends one request first. The spread is so long that in each second as many daemons resume
 // as the endpoint has slots, so that they do not all resume at once.
-func (b *Tracker) spread(d time.Duration, slots int) time.Duration {
-	all := time.Duration(float64(b.daemons.Load()) / float64(max(1, slots)) * float64(time.Second))
-	b.rngMu.Lock()
-	defer b.rngMu.Unlock()
-	return time.Duration(b.rng.Float64() * float64(min(d, all)))
+func (t *Tracker) randomSpread(d time.Duration, slots int) time.Duration {
+	all := time.Duration(float64(t.daemons.Load()) / float64(max(1, slots)) * float64(time.Second))
+	t.rngMu.Lock()
+	defer t.rngMu.Unlock()
+	return time.Duration(t.rng.Float64() * float64(min(d, all)))
 }
 
 // ObserveAnswer processes an answer without a pause to a request sent at the given time: an
 // endpoint that answers a request sent after its pause is open again. It reports whether that is
 // new.
-func (b *Tracker) ObserveAnswer(now, sent time.Time, life fleet.Incarnation) bool {
-	e := b.find(life)
+func (t *Tracker) ObserveAnswer(now, sent time.Time, inc fleet.Incarnation) bool {
+	e := t.find(inc)
 	if e == nil {
 		return false
 	}
@@ -228,73 +228,73 @@
 }
 
 // SetLimit sets the rate limit that an incarnation reports, or that it reports none any more.
-func (b *Tracker) SetLimit(now time.Time, life fleet.Incarnation, w limit.Report) {
-	e := b.take(now, life)
+func (t *Tracker) SetLimit(now time.Time, inc fleet.Incarnation, r limit.Report) {
+	e := t.findOrAdd(now, inc)
 	if e == nil {
 		return
 	}
 	defer e.mu.Unlock()
-	e.limit = w
-	if !w.Limited {
-		e.noRoom = time.Time{}
+	e.limit = r
+	if !r.Limited {
+		e.limitedUntil = time.Time{}
 	}
 }
 
 // CloseFor closes an endpoint whose rate limit is used up for the given time.
-func (b *Tracker) CloseFor(now time.Time, life fleet.Incarnation, d time.Duration) {
-	e := b.take(now, life)
+func (t *Tracker) CloseFor(now time.Time, inc fleet.Incarnation, d time.Duration) {
+	e := t.findOrAdd(now, inc)
 	if e == nil {
 		return
 	}
 	defer e.mu.Unlock()
-	e.noRoom = now.Add(d)
+	e.limitedUntil = now.Add(d)
 }
 
 // Peek decides whether a request could go to an endpoint now, without admitting it.
-func (b *Tracker) Peek(now time.Time, life fleet.Incarnation, a Request) Decision {
-	e := b.find(life)
+func (t *Tracker) Peek(now time.Time, inc fleet.Incarnation, r Request) Decision {
+	e := t.find(inc)
 	if e == nil {
 		return Decision{Open: true}
 	}
 	defer e.mu.Unlock()
-	return e.decideFor(now, a)
+	return e.decideFor(now, r)
 }
 
 // Admit decides on a request immediately before it is sent. If the pause of the endpoint has just
 // ended, an admitted request closes the endpoint for probeEvery. A decision with LastResort admits
 // the request, too.
-func (b *Tracker) Admit(now time.Time, life fleet.Incarnation, a Request) Decision {
-	e := b.find(life)
+func (t *Tracker) Admit(now time.Time, inc fleet.Incarnation, r Request) Decision {
+	e := t.find(inc)
 	if e == nil {
 		return Decision{Open: true}
 	}
 	defer e.mu.Unlock()
-	d := e.decideFor(now, a)
+	d := e.decideFor(now, r)
 	if !d.Closed() && e.resuming {
-		e.triedAt = now
+		e.probedAt = now
 	}
 	return d
 }
 
 // decideFor is decide for one request: the endpoint is not open if other requests wait before this
 // one.
-func (e *entry) decideFor(now time.Time, a Request) Decision {
+func (e *entry) decideFor(now time.Time, r Request) Decision {
 	d := e.decide(now)
-	if d.Closed() || !e.orders() || e.line.ahead(a) == 0 {
+	if d.Closed() || !e.ordered() || e.queue.ahead(r) == 0 {
 		return d
 	}
 	reason := Limited
 	if e.resuming {
 		reason = Paused
 	}
-	return Decision{Reason: reason, OpensIn: trialEvery}
+	return Decision{Reason: reason, OpensIn: probeEvery}
 }
 
 // decide returns the decision that follows from the signals of an incarnation.
 func (e *entry) decide(now time.Time) Decision {
-	opens, reason := e.noRoom, Limited
+	opens, reason := e.limitedUntil, Limited
 	if e.resuming {
-		if until := later(e.pauseUntil, e.nextTrial()); until.After(opens) {
+		if until := later(e.pauseUntil, e.nextProbe()); until.After(opens) {
 			opens, reason = until, Paused
 		}
 	}
@@ -310,16 +310,16 @@
 }
 
 // nextProbe returns when the next request may go to an endpoint that resumes.
-func (e *entry) nextTrial() time.Time {
-	if e.triedAt.IsZero() {
+func (e *entry) nextProbe() time.Time {
+	if e.probedAt.IsZero() {
 		return time.Time{}
 	}
-	return e.triedAt.Add(trialEvery)
+	return e.probedAt.Add(probeEvery)
 }
 
 // LimitOf returns the rate limit that an incarnation reports.
-func (b *Tracker) LimitOf(life fleet.Incarnation) (limit.Report, bool) {
-	e := b.find(life)
+func (t *Tracker) LimitOf(inc fleet.Incarnation) (limit.Report, bool) {
+	e := t.find(inc)
 	if e == nil {
 		return limit.Report{}, false
 	}
@@ -328,25 +328,25 @@
 }
 
 // Prune removes endpoints that are not listed and have sent no signal for longer than retention.
-func (b *Tracker) Prune(now time.Time, listed func(fleet.Incarnation) bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	next := maps.Clone(*b.entries.Load())
-	maps.DeleteFunc(next, func(_ string, e *entry) bool { return e.forgettable(now, listed) })
-	if len(next) < len(*b.entries.Load()) {
-		b.entries.Store(&next)
+func (t *Tracker) Prune(now time.Time, listed func(fleet.Incarnation) bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	next := maps.Clone(*t.entries.Load())
+	maps.DeleteFunc(next, func(_ string, e *entry) bool { return e.prunable(now, listed) })
+	if len(next) < len(*t.entries.Load()) {
+		t.entries.Store(&next)
 	}
 }
 
-func (e *entry) forgettable(now time.Time, listed func(fleet.Incarnation) bool) bool {
+func (e *entry) prunable(now time.Time, listed func(fleet.Incarnation) bool) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return now.Sub(e.said) > remember && now.After(e.pauseUntil) && !listed(e.life)
+	return now.Sub(e.lastSignal) > retention && now.After(e.pauseUntil) && !listed(e.incarnation)
 }
 
 // Counts returns the number of endpoints that leave and the number that are paused.
-func (b *Tracker) Counts(now time.Time) (leaving, paused int) {
-	for _, e := range *b.entries.Load() {
+func (t *Tracker) Counts(now time.Time) (leaving, paused int) {
+	for _, e := range *t.entries.Load() {
 		e.mu.Lock()
 		if !e.closesAt.IsZero() {
 			leaving++
--- a/coordination/backpressure/book_test.go
+++ b/coordination/backpressure/book_test.go
@@ -16,7 +16,7 @@
 
 const leaveWithin = 2 * time.Second
 
-func newBook() *Tracker { return New(Options{LeaveWithin: leaveWithin}) }
+func newTracker() *Tracker { return New(Options{LeaveWithin: leaveWithin}) }
 
 func at(d time.Duration) time.Time { return start.Add(d) }
 
@@ -25,24 +25,24 @@
 // Guards against a pause that ends early: by an answer to an older request, by a shorter pause, by
 // an answer without a pause, or by a rate limit that has room again.
 func TestPauseEndsAtItsTimeOnly(t *testing.T) {
-	b := newBook()
-	b.ObservePause(start, one, 3*time.Second, 64)
-	b.ObserveAnswer(at(time.Second), start.Add(-time.Second), one)
-	b.ObservePause(at(time.Second), one, 500*time.Millisecond, 64)
-	b.SetLimit(at(time.Second), one, limit.Report{Rate: 5, Limited: true})
-	b.CloseFor(at(time.Second), one, time.Millisecond)
-	b.SetLimit(at(2*time.Second), one, limit.Report{})
+	tr := newTracker()
+	tr.ObservePause(start, one, 3*time.Second, 64)
+	tr.ObserveAnswer(at(time.Second), start.Add(-time.Second), one)
+	tr.ObservePause(at(time.Second), one, 500*time.Millisecond, 64)
+	tr.SetLimit(at(time.Second), one, limit.Report{Rate: 5, Limited: true})
+	tr.CloseFor(at(time.Second), one, time.Millisecond)
+	tr.SetLimit(at(2*time.Second), one, limit.Report{})
 	for _, d := range []time.Duration{0, time.Second, 2 * time.Second, 2999 * time.Millisecond} {
-		if got := b.Peek(at(d), one, Request{}); got.Open || got.Reason != Paused || got.OpensIn < 3*time.Second-d {
+		if got := tr.Peek(at(d), one, Request{}); got.Open || got.Reason != Paused || got.OpensIn < 3*time.Second-d {
 			t.Errorf("after %v: %+v", d, got)
 		}
 	}
-	if !b.Peek(at(4*time.Second), one, Request{}).Open {
+	if !tr.Peek(at(4*time.Second), one, Request{}).Open {
 		t.Error("still closed after the pause and its spread")
 	}
-	b.ObservePause(at(4*time.Second), one, time.Second, 64)
-	b.ObservePause(at(4*time.Second), one, 9*time.Second, 64)
-	if got := b.Peek(at(12*time.Second), one, Request{}); got.Open {
+	tr.ObservePause(at(4*time.Second), one, time.Second, 64)
+	tr.ObservePause(at(4*time.Second), one, 9*time.Second, 64)
+	if got := tr.Peek(at(12*time.Second), one, Request{}); got.Open {
 		t.Error("the longest pause does not count")
 	}
 }
@@ -50,23 +50,23 @@
 // Guards against many requests at once after a pause: one request at a time goes to the endpoint
 // until an answer to a request sent after the pause shows that it takes requests again.
 func TestAfterAPauseOneRequestTries(t *testing.T) {
-	b := newBook()
-	b.ObservePause(start, one, time.Second, 64)
+	tr := newTracker()
+	tr.ObservePause(start, one, time.Second, 64)
 	now := at(2 * time.Second)
-	if !b.Admit(now, one, Request{}).Open || b.Admit(now, one, Request{}).Open || b.Peek(now, one, Request{}).Open {
+	if !tr.Admit(now, one, Request{}).Open || tr.Admit(now, one, Request{}).Open || tr.Peek(now, one, Request{}).Open {
 		t.Fatal("not exactly one request is admitted at once")
 	}
-	now = now.Add(trialEvery)
-	if !b.Admit(now, one, Request{}).Open {
+	now = now.Add(probeEvery)
+	if !tr.Admit(now, one, Request{}).Open {
 		t.Fatal("no request follows one that is not answered")
 	}
-	b.ObserveAnswer(now, start, one)
-	if b.Admit(now, one, Request{}).Open {
+	tr.ObserveAnswer(now, start, one)
+	if tr.Admit(now, one, Request{}).Open {
 		t.Fatal("an answer to a request from before the pause counts")
 	}
-	b.ObserveAnswer(now.Add(time.Millisecond), now, one)
+	tr.ObserveAnswer(now.Add(time.Millisecond), now, one)
 	for range 10 {
-		if !b.Admit(now.Add(time.Millisecond), one, Request{}).Open {
+		if !tr.Admit(now.Add(time.Millisecond), one, Request{}).Open {
 			t.Fatal("closed though it takes requests again")
 		}
 	}
@@ -77,10 +77,10 @@
 	const daemons, slots = 375, 64
 	perSecond := map[int64]int{}
 	for i := range daemons {
-		b := New(Options{LeaveWithin: leaveWithin, Seed: uint64(i)})
-		b.SetDaemons(daemons)
-		b.ObservePause(start, one, 10*time.Second, slots)
-		in := b.Peek(start, one, Request{}).OpensIn
+		tr := New(Options{LeaveWithin: leaveWithin, Seed: uint64(i)})
+		tr.SetDaemons(daemons)
+		tr.ObservePause(start, one, 10*time.Second, slots)
+		in := tr.Peek(start, one, Request{}).OpensIn
 		if in < 10*time.Second {
 			t.Fatalf("resumes after %v of 10 s", in)
 		}
@@ -105,12 +105,12 @@
 		"listed as leaving, or not":      {time.Time{}, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newBook()
-			if !b.SetLeaving(start, one, c.ready) || b.SetLeaving(at(time.Second), one, at(time.Second)) {
+			tr := newTracker()
+			if !tr.SetLeaving(start, one, c.ready) || tr.SetLeaving(at(time.Second), one, at(time.Second)) {
 				t.Fatal("the report that the endpoint leaves must be new once, whoever repeats it")
 			}
 			for d := time.Duration(0); d < 5*time.Second; d += 100 * time.Millisecond {
-				got := b.Admit(at(d), one, Request{})
+				got := tr.Admit(at(d), one, Request{})
 				if got.Open || got.LastResort != (d < c.until) || got.Closed() == got.LastResort {
 					t.Fatalf("after %v: %+v", d, got)
 				}
@@ -120,22 +120,22 @@
 }
 
 // Guards against signals of one incarnation that are applied to another.
-func TestWordsHoldForOneLife(t *testing.T) {
-	b := newBook()
+func TestSignalsHoldForOneIncarnation(t *testing.T) {
+	tr := newTracker()
 	next := fleet.Incarnation{ID: "e", StartUnixMs: 2000}
-	b.SetLeaving(start, one, start)
-	b.ObservePause(start, one, time.Minute, 1)
-	if !b.Peek(start, next, Request{}).Open {
+	tr.SetLeaving(start, one, start)
+	tr.ObservePause(start, one, time.Minute, 1)
+	if !tr.Peek(start, next, Request{}).Open {
 		t.Error("the next incarnation is closed")
 	}
-	b.ObservePause(start, next, time.Second, 1)
-	b.SetLeaving(start, one, start)
-	if got := b.Peek(start, next, Request{}); got.Reason != Paused || got.OpensIn > 2*time.Second {
+	tr.ObservePause(start, next, time.Second, 1)
+	tr.SetLeaving(start, one, start)
+	if got := tr.Peek(start, next, Request{}); got.Reason != Paused || got.OpensIn > 2*time.Second {
 		t.Errorf("a late signal of the previous incarnation changed the next: %+v", got)
 	}
-	unborn := fleet.Incarnation{ID: "u"}
-	b.SetLeaving(start, unborn, time.Time{})
-	if b.Peek(start, fleet.Incarnation{ID: "u", StartUnixMs: 5}, Request{}).Open {
+	unknownStart := fleet.Incarnation{ID: "u"}
+	tr.SetLeaving(start, unknownStart, time.Time{})
+	if tr.Peek(start, fleet.Incarnation{ID: "u", StartUnixMs: 5}, Request{}).Open {
 		t.Error("a signal is lost where the start of the incarnation becomes known later")
 	}
 }
@@ -144,41 +144,41 @@
 // open, and no request is admitted within a requested pause.
 func TestWhatWasSaidIsKept(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := newBook()
+		tr := newTracker()
 		now := start
-		var asked time.Time
+		var pausedUntil time.Time
 		left, leftAt := false, time.Time{}
 		for range rapid.IntRange(1, 60).Draw(t, "events") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 900).Draw(t, "ms")) * time.Millisecond)
 			switch rapid.IntRange(0, 6).Draw(t, "event") {
 			case 0:
 				d := time.Duration(rapid.IntRange(1, 4000).Draw(t, "pause")) * time.Millisecond
-				b.ObservePause(now, one, d, 1+rapid.IntRange(0, 64).Draw(t, "slots"))
-				asked = later(asked, now.Add(d))
+				tr.ObservePause(now, one, d, 1+rapid.IntRange(0, 64).Draw(t, "slots"))
+				pausedUntil = later(pausedUntil, now.Add(d))
 			case 1:
 				if rapid.IntRange(0, 5).Draw(t, "leaves") == 0 {
-					b.SetLeaving(now, one, now)
+					tr.SetLeaving(now, one, now)
 					if !left {
 						left, leftAt = true, now
 					}
 				}
 			case 2:
-				b.ObserveAnswer(now, now.Add(-time.Duration(rapid.IntRange(0, 3000).Draw(t, "ago"))*time.Millisecond), one)
+				tr.ObserveAnswer(now, now.Add(-time.Duration(rapid.IntRange(0, 3000).Draw(t, "ago"))*time.Millisecond), one)
 			case 3:
-				b.SetLimit(now, one, limit.Report{Rate: 1, Limited: rapid.Bool().Draw(t, "limited")})
+				tr.SetLimit(now, one, limit.Report{Rate: 1, Limited: rapid.Bool().Draw(t, "limited")})
 			case 4:
-				b.CloseFor(now, one, time.Duration(rapid.IntRange(0, 500).Draw(t, "full"))*time.Millisecond)
+				tr.CloseFor(now, one, time.Duration(rapid.IntRange(0, 500).Draw(t, "full"))*time.Millisecond)
 			case 5:
-				b.Prune(now, func(fleet.Incarnation) bool { return rapid.Bool().Draw(t, "listed") })
+				tr.Prune(now, func(fleet.Incarnation) bool { return rapid.Bool().Draw(t, "listed") })
 			default:
-				d := b.Admit(now, one, Request{})
+				d := tr.Admit(now, one, Request{})
 				switch {
 				case left && d.Open:
 					t.Fatalf("open after it has reported leaving: %+v", d)
 				case left && d.LastResort && !now.Before(leftAt.Add(leaveWithin)):
 					t.Fatalf("used %v after it has reported leaving", now.Sub(leftAt))
-				case !d.Closed() && now.Before(asked):
-					t.Fatalf("admitted %v before the end of a pause", asked.Sub(now))
+				case !d.Closed() && now.Before(pausedUntil):
+					t.Fatalf("admitted %v before the end of a pause", pausedUntil.Sub(now))
 				}
 			}
 		}
@@ -188,24 +188,24 @@
 // Guards against deadlocks by locks taken in different orders: endpoints are pruned while others
 // ask for a pause.
 func TestBookIsSafeForConcurrentUse(t *testing.T) {
-	b := newBook()
+	tr := newTracker()
 	var wg sync.WaitGroup
 	for i := range 4 {
 		wg.Go(func() {
 			for n := range 2000 {
-				life := fleet.Incarnation{ID: fmt.Sprint(n % 7)}
+				inc := fleet.Incarnation{ID: fmt.Sprint(n % 7)}
 				now := at(time.Duration(n) * time.Second)
 				switch (n + i) % 5 {
 				case 0:
-					b.ObservePause(now, life, time.Second, 8)
+					tr.ObservePause(now, inc, time.Second, 8)
 				case 1:
-					b.Prune(now.Add(time.Hour), func(fleet.Incarnation) bool { return false })
+					tr.Prune(now.Add(time.Hour), func(fleet.Incarnation) bool { return false })
 				case 2:
-					b.Dequeue(b.Enqueue(now, life, leavingIn(time.Minute)))
+					tr.Dequeue(tr.Enqueue(now, inc, givesUpIn(time.Minute)))
 				case 3:
-					b.Admit(now, life, Request{})
+					tr.Admit(now, inc, Request{})
 				case 4:
-					b.SetLeaving(now, life, now)
+					tr.SetLeaving(now, inc, now)
 				}
 			}
 		})
@@ -213,9 +213,9 @@
 	wg.Wait()
 }
 
-func BenchmarkLookWhereNothingWasSaid(b *testing.B) {
-	book := newBook()
+func BenchmarkPeekWithoutSignals(b *testing.B) {
+	tracker := newTracker()
 	for b.Loop() {
-		book.Peek(start, one, Request{})
+		tracker.Peek(start, one, Request{})
 	}
 }
