--- a/driver/throttle/throttle.go
+++ b/driver/throttle/throttle.go
@@ -1,7 +1,7 @@
-// Package throttle keeps to what endpoints say of themselves in their answers: that they leave,
-// that they want a pause, that they take so many requests a second. It is the one question that
-// each request asks before it is sent, on both interfaces. It drives coordination/backpressure,
-// and tells the other daemons what holds for all of them.
+// Package throttle applies the backpressure signals that endpoints send in their answers: that they
+// leave, that they want a pause, or that they accept a limited rate of requests. Both interfaces
+// for callers consult it for each request before sending it. It drives coordination/backpressure,
+// and publishes to the other daemons what holds for all of them.
 package throttle
 
 import (
@@ -23,36 +23,38 @@
 	"github.com/doorvalve/doorvalve/state/fleet"
 )
 
-// Options are what a Keeper needs of the rest of the daemon. Functions must be safe for concurrent
-// use and cheap.
+// Options are the dependencies of a Controller. The functions must be safe for concurrent use and
+// cheap.
 type Options struct {
 	Self string
-	// Book holds what was said; others may look into it.
+	// Tracker holds the received signals; others may read it, too.
 	Tracker *backpressure.Tracker
-	// Limits shares the rates that endpoints name.
+	// Limits shares out the rate limits that endpoints report.
 	Limits *quotas.Endpoints
-	// ReadyAt returns up to when an endpoint is known to be listed as not leaving; zero if it is
-	// listed as leaving, or not at all.
+	// LastReady returns the latest time at which an endpoint is known to have been listed as not
+	// leaving; zero if it is listed as leaving or not listed.
 	LastReady func(fleet.Incarnation) time.Time
 	// Daemons returns how many daemons share the requests.
 	Daemons func() int
-	// Listed reports whether an endpoint is listed in some life.
+	// Listed reports whether an incarnation of an endpoint is listed.
 	Listed func(fleet.Incarnation) bool
-	// Leaving is told of each life that says it leaves, or of which another daemon tells it.
+	// OnLeaving is called for each incarnation that reports leaving, to this daemon or to another
+	// one.
 	OnLeaving func(fleet.Incarnation)
-	// Tell offers a fact to all daemons.
+	// Publish sends a fact to all daemons.
 	Publish func(membership.Entry)
-	Clock   clock.Clock // nil: the system's
+	Clock   clock.Clock // nil: the system clock
 	Log     *decisions.Log
 	Metrics tally.Scope
 }
 
-// Keeper is safe for concurrent use.
+// Controller applies the backpressure signals of endpoints at one daemon. It is safe for concurrent
+// use.
 type Controller struct {
 	opt     Options
 	metrics metrics
 
-	unreadable decisions.Once // endpoints whose pauses were logged as unreadable
+	unreadable decisions.Once // endpoints for which an unreadable pause was logged
 }
 
 type metrics struct {
@@ -61,7 +63,7 @@
 	endpointsLeaving, endpointsPaused tally.Gauge
 }
 
-// New returns a keeper.
+// New returns a controller.
 func New(opt Options) *Controller {
 	if opt.Clock == nil {
 		opt.Clock = clock.Now
@@ -77,18 +79,19 @@
 	}}
 }
 
-// Answer is an endpoint's answer, as far as it says something of the endpoint.
+// Answer holds the backpressure signals of an endpoint's answer.
 type Answer struct {
 	Incarnation fleet.Incarnation
 	Slots       int       // requests that the endpoint works on at once
-	Request     string    // id of the one that it answers
-	Sent        time.Time // when the request was, by the daemon's clock
+	Request     string    // id of the answered request
+	Sent        time.Time // when the request was sent, by the daemon's clock
 	Signals     protocol.Backpressure
-	// Whole says that what is not said counts, too: the answer is the endpoint's own.
+	// Authoritative is set if the answer is the endpoint's own, so that the absence of a signal
+	// counts, too.
 	Authoritative bool
 }
 
-// Heard takes what an endpoint says in an answer.
+// ObserveAnswer processes the signals of an answer.
 func (k *Controller) ObserveAnswer(a Answer) {
 	if a.Authoritative || a.Signals.Limit.Present {
 		k.opt.Limits.ObserveReport(a.Incarnation, a.Sent, a.Signals.Limit)
@@ -108,7 +111,7 @@
 	}
 }
 
-// pauses takes an endpoint's word that it wants a pause.
+// observePause processes an endpoint's request for a pause.
 func (k *Controller) pauses(now time.Time, a Answer) {
 	k.metrics.pauses.Inc(1)
 	k.opt.Tracker.SetDaemons(k.opt.Daemons())
@@ -118,7 +121,8 @@
 	}
 }
 
-// leaves takes the word that an endpoint leaves, which some daemon has heard.
+// setLeaving processes the report that an endpoint leaves, which the daemon heardBy received from
+// it.
 func (k *Controller) leaves(now time.Time, life fleet.Incarnation, heardBy, request string) {
 	if k.opt.Tracker.IsLeaving(life) || !k.opt.Tracker.SetLeaving(now, life, k.opt.LastReady(life)) {
 		return
@@ -131,7 +135,7 @@
 	}
 }
 
-// noteUnreadable counts pauses that cannot be read and logs the first of each endpoint.
+// countUnreadable counts unreadable pauses and logs the first of each endpoint.
 func (k *Controller) noteUnreadable(a Answer) {
 	k.metrics.unreadable.Inc(1)
 	if k.unreadable.First(a.Incarnation.ID) {
@@ -139,16 +143,16 @@
 	}
 }
 
-// Look says whether a request might go to an endpoint now.
+// Peek decides whether a request could go to an endpoint now, without admitting it.
 func (k *Controller) Peek(life fleet.Incarnation, a backpressure.Request) backpressure.Decision {
 	return k.opt.Tracker.Peek(k.opt.Clock(), life, a)
 }
 
-// Settle waits until a daemon that has just started has read what must outlast it.
+// WaitSynced waits until a newly started daemon has read the stored limits, or has failed to.
 func (k *Controller) WaitSynced(ctx context.Context) { k.opt.Limits.WaitSynced(ctx) }
 
-// Admit is the last question before a request is sent to an endpoint. One that is not closed to it
-// may be asked; what the request takes of the endpoint's limit is the ticket.
+// Admit decides on a request immediately before it is sent. The request may go to the endpoint if
+// the decision is not Closed. The ticket holds what the request takes of the endpoint's limit.
 func (k *Controller) Admit(ctx context.Context, life fleet.Incarnation, a backpressure.Request) (quotas.Ticket, backpressure.Decision) {
 	if d := k.Peek(life, a); d.Closed() {
 		return quotas.Ticket{}, k.count(d)
@@ -166,7 +170,7 @@
 	return ticket, d
 }
 
-// count counts a request that is held back.
+// count counts a request that is held back, by reason.
 func (k *Controller) count(d backpressure.Decision) backpressure.Decision {
 	if c := k.metrics.held[d.Reason]; c != nil {
 		c.Inc(1)
@@ -174,11 +178,11 @@
 	return d
 }
 
-// Return takes back what a request was admitted with that has not reached the endpoint.
+// Refund gives back what a request was admitted with that has not reached the endpoint.
 func (k *Controller) Refund(t quotas.Ticket) { k.opt.Limits.Refund(t) }
 
-// Turn returns the time until a request is taken by an endpoint, at this daemon's part of the
-// limit that the endpoint names, or else at a rate in requests a second.
+// EstimateWait returns the time until an endpoint takes a request: at this daemon's share of the
+// limit that the endpoint reports, otherwise at the given rate in requests a second.
 func (k *Controller) EstimateWait(life fleet.Incarnation, a backpressure.Request, rate float64) time.Duration {
 	if _, limited := k.opt.Limits.Limit(life); limited {
 		rate = k.opt.Limits.RateShare(life)
@@ -186,12 +190,12 @@
 	return k.opt.Tracker.EstimateWait(k.opt.Clock(), life, a, rate)
 }
 
-// Join lets a request wait in an endpoint's line. It must quit.
+// Enqueue adds a request to the queue of an endpoint. The caller must call Dequeue.
 func (k *Controller) Enqueue(life fleet.Incarnation, a backpressure.Request) *backpressure.Waiter {
 	return k.opt.Tracker.Enqueue(k.opt.Clock(), life, a)
 }
 
-// Quit ends the wait of a request; admitted says that it has come to its turn.
+// Dequeue removes a request from its queue. admitted means that the request was admitted.
 func (k *Controller) Dequeue(p *backpressure.Waiter, admitted bool) {
 	k.opt.Tracker.Dequeue(p)
 	if !admitted {
@@ -199,20 +203,20 @@
 	}
 }
 
-// Promise notes that a caller was told to come back after a time.
+// ReserveRetry records that a caller was told to retry after a time.
 func (k *Controller) ReserveRetry(life fleet.Incarnation, a backpressure.Request, in time.Duration) {
 	k.opt.Tracker.ReserveRetry(k.opt.Clock(), life, a, in)
 }
 
-// Limited takes a limit that begins, changes or ends.
+// SetLimit processes a limit that begins, changes or ends.
 func (k *Controller) SetLimit(life fleet.Incarnation, w limit.Report) {
 	k.opt.Tracker.SetLimit(k.opt.Clock(), life, w)
 }
 
-// keepEvery is the pause between two looks for endpoints that are gone.
+// pruneEvery is the time between two prunings of removed endpoints.
 const keepEvery = 5 * time.Second
 
-// Run forgets endpoints that are gone until ctx ends.
+// Run prunes removed endpoints and updates the gauges until ctx ends.
 func (k *Controller) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		now := k.opt.Clock()
@@ -225,33 +229,34 @@
 	return nil
 }
 
-// FactPrefix starts the keys of the facts that tell of endpoints that leave.
+// FactPrefix is the prefix of the keys of facts about leaving endpoints.
 const FactPrefix = "leaving/"
 
 const (
-	// factStep rounds the versions of facts, so that those who hear the same endpoint at about
-	// the same time tell the same fact, which spreads once.
+	// factStep rounds the versions of facts, so that daemons which receive the report of one
+	// endpoint at about the same time publish the same fact, which spreads only once.
 	factStep = time.Minute
-	// factLife is how long a fact is told to daemons that start.
+	// factLifetime is how long a fact is sent to newly started daemons.
 	factLife = 10 * time.Minute
 )
 
-// fact is the value of a fact.
+// fact is the encoded value of a fact.
 type fact struct {
 	HeardBy string `json:"heard_by"`
 }
 
 func leavingFact(now time.Time, life fleet.Incarnation, heardBy string) membership.Entry {
-	value, _ := json.Marshal(fact{heardBy}) // text always marshals
+	value, _ := json.Marshal(fact{heardBy}) // strings always marshal
 	return membership.Entry{Key: FactPrefix + life.String(), Version: uint64(now.Truncate(factStep).UnixMilli()), Value: value}
 }
 
-// StaleFact reports whether a fact tells of an endpoint that left long ago.
+// StaleFact reports whether a fact is about an endpoint that reported leaving more than
+// factLifetime ago.
 func StaleFact(now time.Time, f membership.Entry) bool {
 	return strings.HasPrefix(f.Key, FactPrefix) && now.Sub(time.UnixMilli(int64(f.Version))) > factLife
 }
 
-// Fact takes an endpoint that leaves, as another daemon has heard.
+// ReceiveFact processes the fact that an endpoint leaves, as received by another daemon.
 func (k *Controller) ReceiveFact(f membership.Entry) {
 	subject, ok := strings.CutPrefix(f.Key, FactPrefix)
 	if !ok {
--- a/driver/throttle/throttle_test.go
+++ b/driver/throttle/throttle_test.go
@@ -26,12 +26,12 @@
 
 var one = fleet.Incarnation{ID: "i-1", StartUnixMs: 1000}
 
-// daemons are keepers that tell each other facts at once.
+// daemons are controllers that exchange facts at once.
 type daemons struct {
 	now     time.Time
 	keepers []*Controller
-	left    [][]fleet.Incarnation // that each was told to leave
-	told    int                   // facts
+	left    [][]fleet.Incarnation // by daemon: the incarnations reported by OnLeaving
+	told    int                   // published facts
 	log     *syncbuf.Buffer
 }
 
@@ -52,7 +52,7 @@
 			Clock: clock, Log: log, Metrics: tally.NoopScope,
 		}))
 	}
-	d.now = d.now.Add(time.Minute) // they have looked for others in vain
+	d.now = d.now.Add(time.Minute) // they have searched for other daemons in vain
 	return d
 }
 
@@ -69,8 +69,8 @@
 	return Answer{Incarnation: one, Slots: 64, Request: "r1", Signals: b, Authoritative: true}
 }
 
-// Guards against daemons that go on sending to an endpoint of which only another one was told that
-// it leaves, and against each of them telling all.
+// Guards against daemons that keep sending to an endpoint which has reported leaving to another
+// daemon only, and against each of them publishing that.
 func TestAllDaemonsKnowThatAnEndpointLeaves(t *testing.T) {
 	d := newDaemons(3)
 	d.keepers[1].ObserveAnswer(says(protocol.Backpressure{Leaving: true}))
@@ -78,7 +78,7 @@
 		for i, k := range d.keepers {
 			k.ObserveAnswer(says(protocol.Backpressure{Leaving: true}))
 			if !slices.Equal(d.left[i], []fleet.Incarnation{one}) {
-				t.Errorf("daemon %d was told %v", i, d.left[i])
+				t.Errorf("daemon %d: OnLeaving for %v", i, d.left[i])
 			}
 			if _, got := k.Admit(t.Context(), one, backpressure.Request{}); got.Open || !got.LastResort {
 				t.Errorf("daemon %d: %+v", i, got)
@@ -91,12 +91,13 @@
 	d.now = d.now.Add(leaveWithin)
 	for i, k := range d.keepers {
 		if _, got := k.Admit(t.Context(), one, backpressure.Request{}); !got.Closed() {
-			t.Errorf("daemon %d after the bound: %+v", i, got)
+			t.Errorf("daemon %d after LeaveWithin: %+v", i, got)
 		}
 	}
 }
 
-// A pause concerns the daemon that was asked for it, and costs one log line.
+// Guards against a pause that closes the endpoint for daemons which did not receive it, and against
+// a log line for each answer of a pause.
 func TestPauseConcernsOneDaemon(t *testing.T) {
 	d := newDaemons(2)
 	for range 50 {
@@ -110,11 +111,12 @@
 	}
 	d.keepers[0].opt.Log.Close()
 	if n := strings.Count(d.log.String(), decisions.EventEndpointPaused); n != 1 {
-		t.Errorf("%d lines for one pause", n)
+		t.Errorf("%d log lines for one pause", n)
 	}
 }
 
-// What cannot be read is logged once for each endpoint and keeps no request away.
+// Guards against unreadable signals that close an endpoint or are logged more than once for each
+// endpoint.
 func TestUnreadableWordsKeepNothingAway(t *testing.T) {
 	d := newDaemons(1)
 	k := d.keepers[0]
@@ -129,6 +131,6 @@
 	}
 	k.opt.Log.Close()
 	if n := strings.Count(d.log.String(), decisions.EventPauseUnreadable); n != 1 {
-		t.Errorf("%d lines", n)
+		t.Errorf("%d log lines, want 1", n)
 	}
 }
