--- a/driver/throttle/throttle.go
+++ b/driver/throttle/throttle.go
@@ -92,139 +92,139 @@
 }
 
 // ObserveAnswer processes the signals of an answer.
-func (k *Controller) ObserveAnswer(a Answer) {
+func (c *Controller) ObserveAnswer(a Answer) {
 	if a.Authoritative || a.Signals.Limit.Present {
-		k.opt.Limits.ObserveReport(a.Incarnation, a.Sent, a.Signals.Limit)
+		c.opt.Limits.ObserveReport(a.Incarnation, a.Sent, a.Signals.Limit)
 	}
-	now := k.opt.Clock()
+	now := c.opt.Clock()
 	if a.Signals.Leaving {
-		k.leaves(now, a.Incarnation, k.opt.Self, a.Request)
+		c.setLeaving(now, a.Incarnation, c.opt.Self, a.Request)
 	}
 	if a.Signals.Pause.Unreadable != "" {
-		k.noteUnreadable(a)
+		c.countUnreadable(a)
 	}
 	switch {
 	case a.Signals.Pause.For > 0:
-		k.pauses(now, a)
-	case a.Authoritative && k.opt.Tracker.ObserveAnswer(now, a.Sent, a.Incarnation):
-		k.opt.Log.Info(decisions.EventEndpointResumed, "endpoint", a.Incarnation.ID, "heard_on", a.Request)
+		c.observePause(now, a)
+	case a.Authoritative && c.opt.Tracker.ObserveAnswer(now, a.Sent, a.Incarnation):
+		c.opt.Log.Info(decisions.EventEndpointResumed, "endpoint", a.Incarnation.ID, "heard_on", a.Request)
 	}
 }
 
 // observePause processes an endpoint's request for a pause.
-func (k *Controller) pauses(now time.Time, a Answer) {
-	k.metrics.pauses.Inc(1)
-	k.opt.Tracker.SetDaemons(k.opt.Daemons())
-	if k.opt.Tracker.ObservePause(now, a.Incarnation, a.Signals.Pause.For, a.Slots) {
-		in := k.opt.Tracker.Peek(now, a.Incarnation, backpressure.Request{}).OpensIn
-		k.opt.Log.Info(decisions.EventEndpointPaused, "endpoint", a.Incarnation.ID, "born", a.Incarnation.StartUnixMs, "heard_on", a.Request, "asked_ms", a.Signals.Pause.For.Milliseconds(), "for_ms", in.Milliseconds())
+func (c *Controller) observePause(now time.Time, a Answer) {
+	c.metrics.pauses.Inc(1)
+	c.opt.Tracker.SetDaemons(c.opt.Daemons())
+	if c.opt.Tracker.ObservePause(now, a.Incarnation, a.Signals.Pause.For, a.Slots) {
+		opensIn := c.opt.Tracker.Peek(now, a.Incarnation, backpressure.Request{}).OpensIn
+		c.opt.Log.Info(decisions.EventEndpointPaused, "endpoint", a.Incarnation.ID, "born", a.Incarnation.StartUnixMs, "heard_on", a.Request, "asked_ms", a.Signals.Pause.For.Milliseconds(), "for_ms", opensIn.Milliseconds())
 	}
 }
 
-// setLeaving processes the report that an endpoint leaves, which the daemon heardBy received from
-// it.
-func (k *Controller) leaves(now time.Time, life fleet.Incarnation, heardBy, request string) {
-	if k.opt.Tracker.IsLeaving(life) || !k.opt.Tracker.SetLeaving(now, life, k.opt.LastReady(life)) {
+// setLeaving processes the report that an endpoint leaves. reporter is the daemon that received the
+// report from the endpoint.
+func (c *Controller) setLeaving(now time.Time, inc fleet.Incarnation, reporter, request string) {
+	if c.opt.Tracker.IsLeaving(inc) || !c.opt.Tracker.SetLeaving(now, inc, c.opt.LastReady(inc)) {
 		return
 	}
-	k.metrics.leaves.Inc(1)
-	k.opt.Log.Info(decisions.EventEndpointLeaving, "endpoint", life.ID, "born", life.StartUnixMs, "heard_by", heardBy, "heard_on", request, "last_resort", k.opt.Tracker.Peek(now, life, backpressure.Request{}).LastResort)
-	k.opt.OnLeaving(life)
-	if heardBy == k.opt.Self {
-		k.opt.Publish(leavingFact(now, life, heardBy))
+	c.metrics.leaves.Inc(1)
+	c.opt.Log.Info(decisions.EventEndpointLeaving, "endpoint", inc.ID, "born", inc.StartUnixMs, "heard_by", reporter, "heard_on", request, "last_resort", c.opt.Tracker.Peek(now, inc, backpressure.Request{}).LastResort)
+	c.opt.OnLeaving(inc)
+	if reporter == c.opt.Self {
+		c.opt.Publish(leavingFact(now, inc, reporter))
 	}
 }
 
 // countUnreadable counts unreadable pauses and logs the first of each endpoint.
-func (k *Controller) noteUnreadable(a Answer) {
-	k.metrics.unreadable.Inc(1)
-	if k.unreadable.First(a.Incarnation.ID) {
-		k.opt.Log.Warn(decisions.EventPauseUnreadable, "endpoint", a.Incarnation.ID, "heard_on", a.Request, "value", a.Signals.Pause.Unreadable)
+func (c *Controller) countUnreadable(a Answer) {
+	c.metrics.unreadable.Inc(1)
+	if c.unreadable.First(a.Incarnation.ID) {
+		c.opt.Log.Warn(decisions.EventPauseUnreadable, "endpoint", a.Incarnation.ID, "heard_on", a.Request, "value", a.Signals.Pause.Unreadable)
 	}
 }
 
 // Peek decides whether a request could go to an endpoint now, without admitting it.
-func (k *Controller) Peek(life fleet.Incarnation, a backpressure.Request) backpressure.Decision {
-	return k.opt.Tracker.Peek(k.opt.Clock(), life, a)
+func (c *Controller) Peek(inc fleet.Incarnation, r backpressure.Request) backpressure.Decision {
+	return c.opt.Tracker.Peek(c.opt.Clock(), inc, r)
 }
 
 // WaitSynced waits until a newly started daemon has read the stored limits, or has failed to.
-func (k *Controller) WaitSynced(ctx context.Context) { k.opt.Limits.WaitSynced(ctx) }
+func (c *Controller) WaitSynced(ctx context.Context) { c.opt.Limits.WaitSynced(ctx) }
 
 // Admit decides on a request immediately before it is sent. The request may go to the endpoint if
 // the decision is not Closed. The ticket holds what the request takes of the endpoint's limit.
-func (k *Controller) Admit(ctx context.Context, life fleet.Incarnation, a backpressure.Request) (quotas.Ticket, backpressure.Decision) {
-	if d := k.Peek(life, a); d.Closed() {
-		return quotas.Ticket{}, k.count(d)
+func (c *Controller) Admit(ctx context.Context, inc fleet.Incarnation, r backpressure.Request) (quotas.Ticket, backpressure.Decision) {
+	if d := c.Peek(inc, r); d.Closed() {
+		return quotas.Ticket{}, c.count(d)
 	}
-	ticket, ok, roomIn := k.opt.Limits.Admit(ctx, life, a)
+	ticket, ok, opensIn := c.opt.Limits.Admit(ctx, inc, r)
 	if !ok {
-		k.opt.Tracker.CloseFor(k.opt.Clock(), life, roomIn)
-		return quotas.Ticket{}, k.count(backpressure.Decision{Reason: backpressure.Limited, OpensIn: roomIn})
+		c.opt.Tracker.CloseFor(c.opt.Clock(), inc, opensIn)
+		return quotas.Ticket{}, c.count(backpressure.Decision{Reason: backpressure.Limited, OpensIn: opensIn})
 	}
-	d := k.opt.Tracker.Admit(k.opt.Clock(), life, a)
+	d := c.opt.Tracker.Admit(c.opt.Clock(), inc, r)
 	if d.Closed() {
-		k.opt.Limits.Refund(ticket)
-		return quotas.Ticket{}, k.count(d)
+		c.opt.Limits.Refund(ticket)
+		return quotas.Ticket{}, c.count(d)
 	}
 	return ticket, d
 }
 
 // count counts a request that is held back, by reason.
-func (k *Controller) count(d backpressure.Decision) backpressure.Decision {
-	if c := k.metrics.held[d.Reason]; c != nil {
-		c.Inc(1)
+func (c *Controller) count(d backpressure.Decision) backpressure.Decision {
+	if counter := c.metrics.held[d.Reason]; counter != nil {
+		counter.Inc(1)
 	}
 	return d
 }
 
 // Refund gives back what a request was admitted with that has not reached the endpoint.
-func (k *Controller) Refund(t quotas.Ticket) { k.opt.Limits.Refund(t) }
+func (c *Controller) Refund(t quotas.Ticket) { c.opt.Limits.Refund(t) }
 
 // EstimateWait returns the time until an endpoint takes a request: at this daemon's share of the
 // limit that the endpoint reports, otherwise at the given rate in requests a second.
-func (k *Controller) EstimateWait(life fleet.Incarnation, a backpressure.Request, rate float64) time.Duration {
-	if _, limited := k.opt.Limits.Limit(life); limited {
-		rate = k.opt.Limits.RateShare(life)
+func (c *Controller) EstimateWait(inc fleet.Incarnation, r backpressure.Request, rate float64) time.Duration {
+	if _, limited := c.opt.Limits.Limit(inc); limited {
+		rate = c.opt.Limits.RateShare(inc)
 	}
-	return k.opt.Tracker.EstimateWait(k.opt.Clock(), life, a, rate)
+	return c.opt.Tracker.EstimateWait(c.opt.Clock(), inc, r, rate)
 }
 
 // Enqueue adds a request to the queue of an endpoint. The caller must call Dequeue.
-func (k *Controller) Enqueue(life fleet.Incarnation, a backpressure.Request) *backpressure.Waiter {
-	return k.opt.Tracker.Enqueue(k.opt.Clock(), life, a)
+func (c *Controller) Enqueue(inc fleet.Incarnation, r backpressure.Request) *backpressure.Waiter {
+	return c.opt.Tracker.Enqueue(c.opt.Clock(), inc, r)
 }
 
 // Dequeue removes a request from its queue. admitted means that the request was admitted.
-func (k *Controller) Dequeue(p *backpressure.Waiter, admitted bool) {
-	k.opt.Tracker.Dequeue(p)
+func (c *Controller) Dequeue(w *backpressure.Waiter, admitted bool) {
+	c.opt.Tracker.Dequeue(w)
 	if !admitted {
-		k.opt.Limits.StopWaiting(p.Incarnation())
+		c.opt.Limits.StopWaiting(w.Incarnation())
 	}
 }
 
 // ReserveRetry records that a caller was told to retry after a time.
-func (k *Controller) ReserveRetry(life fleet.Incarnation, a backpressure.Request, in time.Duration) {
-	k.opt.Tracker.ReserveRetry(k.opt.Clock(), life, a, in)
+func (c *Controller) ReserveRetry(inc fleet.Incarnation, r backpressure.Request, in time.Duration) {
+	c.opt.Tracker.ReserveRetry(c.opt.Clock(), inc, r, in)
 }
 
 // SetLimit processes a limit that begins, changes or ends.
-func (k *Controller) SetLimit(life fleet.Incarnation, w limit.Report) {
-	k.opt.Tracker.SetLimit(k.opt.Clock(), life, w)
+func (c *Controller) SetLimit(inc fleet.Incarnation, r limit.Report) {
+	c.opt.Tracker.SetLimit(c.opt.Clock(), inc, r)
 }
 
 // pruneEvery is the time between two prunings of removed endpoints.
-const keepEvery = 5 * time.Second
+const pruneEvery = 5 * time.Second
 
 // Run prunes removed endpoints and updates the gauges until ctx ends.
-func (k *Controller) Run(ctx context.Context) error {
+func (c *Controller) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
-		now := k.opt.Clock()
-		k.opt.Tracker.Prune(now, k.opt.Listed)
-		leaving, paused := k.opt.Tracker.Counts(now)
-		k.metrics.endpointsLeaving.Update(float64(leaving))
-		k.metrics.endpointsPaused.Update(float64(paused))
-		pause.For(ctx, keepEvery)
+		now := c.opt.Clock()
+		c.opt.Tracker.Prune(now, c.opt.Listed)
+		leaving, paused := c.opt.Tracker.Counts(now)
+		c.metrics.endpointsLeaving.Update(float64(leaving))
+		c.metrics.endpointsPaused.Update(float64(paused))
+		pause.For(ctx, pruneEvery)
 	}
 	return nil
 }
@@ -237,39 +237,39 @@
 	// endpoint at about the same time publish the same fact, which spreads only once.
 	factStep = time.Minute
 	// factLifetime is how long a fact is sent to newly started daemons.
-	factLife = 10 * time.Minute
+	factLifetime = 10 * time.Minute
 )
 
 // fact is the encoded value of a fact.
 type fact struct {
-	HeardBy string `json:"heard_by"`
+	Reporter string `json:"heard_by"`
 }
 
-func leavingFact(now time.Time, life fleet.Incarnation, heardBy string) membership.Entry {
-	value, _ := json.Marshal(fact{heardBy}) // strings always marshal
-	return membership.Entry{Key: FactPrefix + life.String(), Version: uint64(now.Truncate(factStep).UnixMilli()), Value: value}
+func leavingFact(now time.Time, inc fleet.Incarnation, reporter string) membership.Entry {
+	value, _ := json.Marshal(fact{reporter}) // strings always marshal
+	return membership.Entry{Key: FactPrefix + inc.String(), Version: uint64(now.Truncate(factStep).UnixMilli()), Value: value}
 }
 
 // StaleFact reports whether a fact is about an endpoint that reported leaving more than
 // factLifetime ago.
 func StaleFact(now time.Time, f membership.Entry) bool {
-	return strings.HasPrefix(f.Key, FactPrefix) && now.Sub(time.UnixMilli(int64(f.Version))) > factLife
+	return strings.HasPrefix(f.Key, FactPrefix) && now.Sub(time.UnixMilli(int64(f.Version))) > factLifetime
 }
 
 // ReceiveFact processes the fact that an endpoint leaves, as received by another daemon.
-func (k *Controller) ReceiveFact(f membership.Entry) {
+func (c *Controller) ReceiveFact(f membership.Entry) {
 	subject, ok := strings.CutPrefix(f.Key, FactPrefix)
 	if !ok {
 		return
 	}
-	life, err := fleet.ParseIncarnation(subject)
-	var said fact
+	inc, err := fleet.ParseIncarnation(subject)
+	var value fact
 	if err == nil {
-		err = json.Unmarshal(f.Value, &said)
+		err = json.Unmarshal(f.Value, &value)
 	}
 	if err != nil {
-		k.opt.Log.Warn(decisions.EventFactUnreadable, "key", f.Key, "error", err)
+		c.opt.Log.Warn(decisions.EventFactUnreadable, "key", f.Key, "error", err)
 		return
 	}
-	k.leaves(k.opt.Clock(), life, said.HeardBy, "")
+	c.setLeaving(c.opt.Clock(), inc, value.Reporter, "")
 }
