--- a/driver/quarantiner/broken.go
+++ b/driver/quarantiner/broken.go
@@ -15,55 +15,55 @@
 )
 
 const (
-	// checkTimeout bounds connecting to an endpoint whose connection broke: one that
-	// has ended refuses at once, one that cannot be reached says nothing.
+	// checkTimeout bounds connecting to an endpoint whose connection broke: a crashed one refuses
+	// at once, an unreachable one does not answer.
 	checkTimeout = 200 * time.Millisecond
-	// checkAgain is the pause before an endpoint that still takes connections is asked
-	// again: its listener may close after its connections.
+	// checkEvery is the time until an endpoint that still accepts connections is checked again: its
+	// listener may close after its connections.
 	checkAgain = 250 * time.Millisecond
-	// checksMost bounds the questions to one life, so that broken connections cost an
-	// endpoint that lives a few new ones at most.
+	// maxChecks bounds the checks of one incarnation, so that broken connections cost an endpoint
+	// which is up only a few new connections.
 	checksMost = 3
-	// brokenFor is how long a broken attempt waits for the sign that its endpoint has
-	// ended: longer than entries of endpoints that are gone stay in the list.
+	// brokenFor is how long a broken attempt waits for evidence that its endpoint has crashed. It
+	// is longer than removed endpoints stay in the list.
 	brokenFor = 6 * time.Second
-	// mostBroken bounds the lives that are watched; those that break beyond it are
-	// taken to live.
+	// maxBroken bounds the incarnations that are watched. Further ones are taken to be up.
 	mostBroken = 256
 )
 
-// Attempt is one whose connection to the endpoint broke before its answer was complete.
+// BrokenAttempt is an attempt whose connection to the endpoint broke before its answer was
+// complete.
 type BrokenAttempt struct {
-	Request     string // id, of this attempt of the caller
+	Request     string // request id of the caller's attempt
 	Fingerprint protocol.Fingerprint
 	Incarnation fleet.Incarnation
 	Address     string
-	Sent        time.Time // by the keeper's clock
-	AnswerBegan bool      // events of the answer had come
+	Sent        time.Time // by the controller's clock
+	AnswerBegan bool      // events of the answer had arrived
 	Software    quarantine.Software
 }
 
-// broken is a life of an endpoint whose connections broke. Whether it has ended is not
-// known at first: connections are also cut on the way.
+// broken is an incarnation of an endpoint whose connections broke. Whether it has crashed is not
+// known at first: connections can also be cut on the way.
 type broken struct {
 	address  string
-	leaving  bool // it had said so, or was listed no more: its end is no surprise
+	leaving  bool // it had reported leaving, or was no longer listed: its end is expected
 	since    time.Time
-	order    int64 // see quarantine.End
+	order    int64 // see quarantine.Crash
 	ended    bool
-	endedAt  time.Time // when that was found out
+	endedAt  time.Time // when the crash was detected
 	checks   int
-	checkAt  time.Time       // of the next question
-	checking chan struct{}   // closed when the question on its way is answered; nil if none is
-	attempts []BrokenAttempt // that wait to be counted
+	checkAt  time.Time       // of the next check
+	checking chan struct{}   // closed when the running check ends; nil if none is running
+	attempts []BrokenAttempt // not counted yet
 }
 
-// Broke takes a broken attempt, and returns when the endpoint has been asked whether it is
-// there: the next endpoint is chosen after that, a few milliseconds later.
+// ObserveBroken processes a broken attempt. It returns when the endpoint has been checked, a few
+// milliseconds later, so that the choice of the next endpoint takes the result into account.
 func (k *Controller) ObserveBroken(ctx context.Context, a BrokenAttempt) {
 	now := k.opt.Clock()
 	listed, leaving := k.opt.Endpoint(a.Incarnation)
-	leaving = leaving || !listed // taken out before its connections broke
+	leaving = leaving || !listed // removed from the list before its connections broke
 	k.mu.Lock()
 	b := k.broken[a.Incarnation]
 	if b != nil && b.followedBy(a) {
@@ -89,21 +89,21 @@
 	k.count(a.Incarnation, b)
 }
 
-// followedBy reports whether an attempt was sent to the next life of an endpoint whose lives
-// bear no start: after it was known that the one before had ended.
+// followedBy reports whether an attempt was sent to the next incarnation of an endpoint whose
+// incarnations have no start time: it was sent after the crash of the previous one was detected.
 func (b *broken) followedBy(a BrokenAttempt) bool {
 	return a.Incarnation.StartUnixMs == 0 && b.ended && a.Sent.After(b.endedAt)
 }
 
-// end notes that the life has ended; the caller holds the mutex.
+// markCrashed records that the incarnation has crashed; the caller holds the mutex.
 func (b *broken) end(now time.Time) {
 	if !b.ended {
 		b.ended, b.endedAt = true, now
 	}
 }
 
-// Refused takes it that connecting to an endpoint failed: if nothing listens there, the
-// attempts that broke shortly before ended with it.
+// ObserveDialError processes a failure to connect to an endpoint: if nothing listens there, the
+// endpoint crashed during the attempts that broke shortly before.
 func (k *Controller) ObserveDialError(life fleet.Incarnation, err error) {
 	if !IsConnectionRefused(err) {
 		return
@@ -119,7 +119,7 @@
 	}
 }
 
-// ask asks an endpoint whether it is there, once for all attempts that broke together.
+// checkOnce checks whether an endpoint is up, once for all attempts that broke together.
 func (k *Controller) ask(ctx context.Context, life fleet.Incarnation, b *broken) {
 	k.mu.Lock()
 	waiting := b.checking
@@ -149,7 +149,7 @@
 	}
 }
 
-// count counts the attempts that ended with an endpoint, if it has ended.
+// count counts the attempts during which an endpoint crashed, if it has crashed.
 func (k *Controller) count(life fleet.Incarnation, b *broken) {
 	k.mu.Lock()
 	attempts := b.attempts
@@ -173,15 +173,15 @@
 	})
 }
 
-// watching reports whether there are endpoints whose end is not known.
+// watching reports whether there are incarnations of which it is not known whether they crashed.
 func (k *Controller) watching() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return len(k.broken) > 0
 }
 
-// check looks again at endpoints whose connections broke: asks them, and takes it as their
-// end if they are not listed any more though they had not said that they leave.
+// check repeats the checks of endpoints whose connections broke. An endpoint that is no longer
+// listed although it had not reported leaving is taken to have crashed.
 func (k *Controller) check(ctx context.Context) {
 	now := k.opt.Clock()
 	k.mu.Lock()
@@ -214,10 +214,10 @@
 	}
 }
 
-// RefusedConnection reports whether an error says that nothing listens at the address.
+// IsConnectionRefused reports whether an error means that nothing listens at the address.
 func IsConnectionRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
-// dial is how an endpoint is asked whether it is there.
+// dial checks over TCP whether an endpoint is up.
 func dial(ctx context.Context, address string) error {
 	conn, err := (&net.Dialer{Timeout: checkTimeout, KeepAlive: -1}).DialContext(ctx, "tcp", address)
 	if err != nil {
--- a/driver/quarantiner/fleet_test.go
+++ b/driver/quarantiner/fleet_test.go
@@ -24,7 +24,7 @@
 	"github.com/doorvalve/doorvalve/state/fleet"
 )
 
-// installation is daemons and engines in virtual time.
+// installation runs daemons and engines in virtual time.
 type installation struct {
 	log     *decisions.Log
 	mu      sync.Mutex
@@ -35,11 +35,11 @@
 	sends   map[string][]send
 	ends    map[string][]time.Time
 	store   *record.Store
-	heard   *generations.Tracker // of the store, by all daemons
-	untold  map[string]int       // ends that only a daemon saw which was cut off or ended then
+	heard   *generations.Tracker // generations of the store, shared by all daemons
+	untold  map[string]int       // by request: crashes detected only by a daemon that was partitioned or stopped before it could report them
 }
 
-// host runs one daemon's keeper after the other.
+// host runs the controllers of one daemon, one after the other.
 type host struct {
 	in   *installation
 	name string
@@ -47,12 +47,12 @@
 	mu        sync.Mutex
 	keeper    *Controller
 	stop      context.CancelFunc
-	cut       bool          // from all other daemons
-	suspended time.Duration // that its clock is ahead by
+	cut       bool          // partitioned from all other daemons
+	suspended time.Duration // how far its clock is ahead
 	calmSince time.Time
 }
 
-// send is one that reached an engine.
+// send is a request that reached an engine.
 type send struct {
 	at      time.Time
 	inTouch bool
@@ -78,7 +78,7 @@
 	for _, h := range in.hosts {
 		h.stop()
 	}
-	time.Sleep(time.Minute) // what is on its way ends
+	time.Sleep(time.Minute) // calls in progress end
 	in.log.Close()
 }
 
@@ -88,7 +88,7 @@
 	return in.rng.IntN(n)
 }
 
-// start starts a daemon that knows nothing.
+// start starts a daemon without records.
 func (h *host) start() {
 	ctx, cancel := context.WithCancel(context.Background())
 	k := New(Options{
@@ -116,7 +116,7 @@
 	return h.keeper
 }
 
-// disturb cuts the daemon off for a while.
+// disturb partitions the daemon from the others for a while.
 func (h *host) disturb(d time.Duration, suspend bool) {
 	h.mu.Lock()
 	h.cut, h.calmSince = true, time.Now().Add(d)
@@ -189,7 +189,7 @@
 	return k.Trial(ctx, req)
 }
 
-// engine is one that ends under some requests and is back after a while.
+// engine is an engine that crashes during some requests and restarts after a while.
 type engine struct {
 	in   *installation
 	name string
@@ -197,7 +197,7 @@
 	mu    sync.Mutex
 	lives int
 	up    bool
-	over  chan struct{} // closed when this life ends
+	over  chan struct{} // closed when this incarnation ends
 }
 
 func (e *engine) life() (fleet.Incarnation, chan struct{}, bool) {
@@ -206,7 +206,7 @@
 	return fleet.Incarnation{ID: fmt.Sprintf("%s.%d", e.name, e.lives)}, e.over, e.up
 }
 
-// end ends a life, if it is still that one.
+// crash ends an incarnation, if it is still the current one.
 func (e *engine) end(over chan struct{}, down time.Duration) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -224,7 +224,7 @@
 	return true
 }
 
-// reset breaks the connections to an engine that lives on.
+// reset breaks the connections to an engine that stays up.
 func (e *engine) reset() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -246,8 +246,8 @@
 	return nil
 }
 
-// endpoint tells what the list of endpoints says; it is up to two seconds late in what
-// matters here only by the daemons' own checks.
+// endpoint reports the current list of endpoints. A real list is up to two seconds late; here that
+// only matters for the daemons' own checks.
 func (in *installation) endpoint(life fleet.Incarnation) (listed, leaving bool) {
 	for _, e := range in.engines {
 		if now, _, _ := e.life(); now == life {
@@ -258,15 +258,15 @@
 }
 
 const (
-	beginsFor    = 70 * time.Millisecond // until an engine ends under a request
+	beginsFor    = 70 * time.Millisecond // until an engine crashes during a request
 	runsFor      = 800 * time.Millisecond
 	downFor      = 3 * time.Second
 	stableWindow = 3 * time.Second
 	attempts     = 2 // of one request
 )
 
-// serve sends a request as a daemon does, and reports whether it was refused as held back,
-// and whether it was served.
+// serve sends a request as a daemon does. It reports whether the request was refused because it is
+// held back, and whether it was served.
 func (h *host) serve(body string, ends bool) (refused, served bool) {
 	k := h.current()
 	print := func() protocol.Fingerprint {
@@ -331,10 +331,10 @@
 	})
 }
 
-// tellsWithin is how long a daemon takes to tell others of an end.
+// reportsWithin is how long a daemon takes to report a crash to others.
 const tellsWithin = 200 * time.Millisecond
 
-// lateSends counts what reached engines too long after the third end under a request.
+// lateSends counts the sends that reached engines too long after the third crash during a request.
 func (in *installation) lateSends(body string) int {
 	in.mu.Lock()
 	defer in.mu.Unlock()
--- a/driver/quarantiner/quarantiner.go
+++ b/driver/quarantiner/quarantiner.go
@@ -1,6 +1,6 @@
-// Package quarantiner drives the belief about requests under which endpoints end: it
-// finds out whether an endpoint has ended when a connection breaks, tells the other
-// daemons and hears from them, and answers whether a request may be sent.
+// Package quarantiner drives coordination/quarantine, which holds the records of requests during
+// which endpoints crash. It finds out whether an endpoint has crashed when a connection breaks,
+// exchanges records with the other daemons, and decides whether a request may be sent.
 package quarantiner
 
 import (
@@ -28,40 +28,41 @@
 )
 
 const (
-	// tick is how often there may be something to do while something is going on.
+	// tick is the interval of checks while endpoints are watched.
 	tick = 50 * time.Millisecond
-	// fanout is the number of daemons that are told news; each tells as many. With 3,
-	// one in twenty is missed; they hear at the next comparison.
+	// fanout is the number of daemons to which a daemon sends new records; each of them does the
+	// same. With 3, one daemon in twenty is missed and receives the records with the next
+	// comparison.
 	fanout = 3
-	// tellEvery is the least time between two rounds of news: an endpoint with slots for
-	// many daemons ends for all of them at once.
+	// sendEvery is the least time between two rounds of new records: an endpoint with slots for
+	// many daemons crashes for all of them at once.
 	tellEvery = 50 * time.Millisecond
-	// compareSoon is the pause between two comparisons with another daemon for
-	// spreadFor after the last news, and compareLater is it while anything is known.
+	// compareSoon is the interval of comparisons with another daemon for spreadFor after the latest
+	// change, and compareLater is the interval while there are any records.
 	compareSoon  = 500 * time.Millisecond
 	compareLater = 5 * time.Second
 	spreadFor    = 5 * time.Second
 	// callTimeout bounds a call to another daemon, which answers from memory.
 	callTimeout = 300 * time.Millisecond
-	// syncWithin bounds the time after a start in which a daemon that has found nobody
-	// to ask keeps requests waiting: what the first desired state takes as well, so that a
-	// start of all daemons at once is not slower by it.
+	// syncWithin bounds the time after a start in which a daemon that has found no other daemon to
+	// ask keeps requests waiting. Reading the first desired state takes as long, so a start of all
+	// daemons at once is not delayed by it.
 	syncWithin = 500 * time.Millisecond
-	// syncPause is the pause between two rounds of questions meanwhile.
+	// syncPause is the pause between two rounds of calls within syncWithin.
 	syncPause = 100 * time.Millisecond
-	// expireEvery is how often old cases are looked for.
+	// expireEvery is the interval at which expired records are removed.
 	expireEvery = 10 * time.Second
-	// justEnded is how long after its end others are told not to ask an endpoint.
+	// recentCrash is the age up to which a crash reported by another daemon is passed to
+	// Options.OnCrash, so that the endpoint is not used right after its crash.
 	justEnded = time.Second
-	// retryUndecided is when to come back if the daemon that decides on a trial cannot
-	// be asked.
+	// retryUndecided is the retry delay if the daemon that decides on a probe cannot be reached.
 	retryUndecided = time.Second
 )
 
-// ReasonHeldBack is the reason of a refusal because endpoints have ended under a request.
+// ReasonHeldBack is the reason of a refusal because endpoints have crashed during the request.
 const ReasonHeldBack = "held-back"
 
-// Options are what a Keeper needs of the rest of the daemon.
+// Options are the dependencies of a Controller.
 type Options struct {
 	Self string // id of this daemon
 	// Members returns the daemons that are alive, this one among them.
@@ -70,34 +71,36 @@
 	Peer func(address string) quarantinepb.Quarantine
 	// Endpoint reports whether an endpoint is listed, and as leaving.
 	Endpoint func(fleet.Incarnation) (listed, leaving bool)
-	// Dial connects to an endpoint to see whether it is there; nil: over TCP.
+	// Dial connects to an endpoint to check whether it is up; nil: over TCP.
 	Dial func(ctx context.Context, address string) error
-	// Ended is told of endpoints that have just ended, as this daemon or another has seen.
+	// OnCrash is called for endpoints that have just crashed, as detected by this daemon or another
+	// one.
 	OnCrash func(fleet.Incarnation)
-	// Store keeps what must outlast all daemons; nil: nothing does.
+	// Store keeps the records of requests that are held back, for the case that all daemons fail;
+	// nil: they are not kept.
 	Store record.Store
-	// Generations keeps the highest generation of the store; nil: it names none.
+	// Generations tracks the highest generation of the store; nil: the store reports none.
 	Generations *generations.Tracker
 	Clock       clock.Clock
 	Log         *decisions.Log
 	Metrics     tally.Scope
 }
 
-// Keeper is safe for concurrent use.
+// Controller runs the quarantine of one daemon. It is safe for concurrent use.
 type Controller struct {
 	opt     Options
-	synced  chan struct{} // closed when others were asked, or there is nobody to ask
+	synced  chan struct{} // closed when a synced daemon has answered, or after syncWithin
 	started time.Time
-	wake    chan struct{} // there is something to look after
-	news    chan struct{} // there is something to tell
+	wake    chan struct{} // signals Run that there is something to do
+	news    chan struct{} // signals that there are pending records
 	metrics metrics
 
-	// held is what requests look at: those that are held back, mostly none.
+	// held is the copy that requests read: the requests that are held back, usually none.
 	held  atomic.Pointer[map[protocol.Fingerprint]quarantine.Assessment]
-	known atomic.Int64 // cases
+	known atomic.Int64 // number of records
 
 	served servedTable
-	// Only Run uses the record, and the digest of what it holds.
+	// record and recorded, the digest of its content, are used by Run only.
 	record   record.Record
 	recorded uint64
 
@@ -113,7 +116,7 @@
 	held, cases                  tally.Gauge
 }
 
-// New returns a keeper that knows nothing yet.
+// New returns a controller without records.
 func New(opt Options) *Controller {
 	if opt.Clock == nil {
 		opt.Clock = clock.Now
@@ -133,9 +136,9 @@
 	return k
 }
 
-// Waits refuses a request that is held back and whose trial is not due; the refusal says
-// when to come back. While nothing is held back it costs a read: the functions are asked
-// only where something is.
+// CheckHeld refuses a request that is held back and whose probe is not due; the refusal carries the
+// retry delay. While no request is held back it costs one atomic read, and the functions are not
+// called.
 func (k *Controller) CheckHeld(print func() protocol.Fingerprint, on func() quarantine.Software) *protocol.Refusal {
 	s, held := k.standing(print)
 	if !held {
@@ -147,23 +150,24 @@
 	return nil
 }
 
-// Trial is the one request of all daemons that goes through while its like are held back;
-// zero where nothing is.
+// Probe is the one request of all daemons that is sent while requests with the same fingerprint are
+// held back. The zero value is no probe.
 type Probe struct {
 	print  protocol.Fingerprint
 	number int
 }
 
-// Settle waits until a daemon that has just started has asked others what they know, or has
-// found nobody to ask.
+// WaitSynced waits until a newly started daemon has received the records of a synced one, or has
+// found none within syncWithin.
 func (k *Controller) WaitSynced(ctx context.Context) {
 	if !k.settled() {
 		pause.Until(ctx, time.Now().Add(syncWithin), k.synced)
 	}
 }
 
-// Admit is Waits at the moment of sending: a request whose trial is due goes through if
-// the daemon that decides on it says so. One that has just started asks others first.
+// Admit is CheckHeld immediately before a request is sent: a request whose probe is due is admitted
+// if the daemon that decides on it grants the probe. A newly started daemon first waits for the
+// records of others.
 func (k *Controller) Admit(ctx context.Context, print func() protocol.Fingerprint, on func() quarantine.Software) (Probe, *protocol.Refusal) {
 	k.WaitSynced(ctx)
 	if refusal := k.CheckHeld(print, on); refusal != nil {
@@ -175,8 +179,8 @@
 	return Probe{}, nil
 }
 
-// GiveBack takes it that a trial has reached no endpoint, so that another one may go
-// through at once.
+// ReturnProbe processes a probe that has reached no endpoint, so that another one may be sent at
+// once.
 func (k *Controller) ReturnProbe(t Probe) {
 	if t.number == 0 {
 		return
@@ -200,8 +204,8 @@
 	return protocol.Refuse(http.StatusServiceUnavailable, ReasonHeldBack, detail, max(after, retryUndecided))
 }
 
-// trial asks the daemon that decides on the request whether its trial may go through now:
-// one does for all daemons.
+// requestProbe asks the daemon that decides on the request whether its probe may be sent now. One
+// daemon decides for all.
 func (k *Controller) trial(ctx context.Context, s quarantine.Assessment, on quarantine.Software) (Probe, *protocol.Refusal) {
 	print := s.Record.Fingerprint
 	judge, ok := k.judge(print)
@@ -220,10 +224,10 @@
 	if now, held := (*k.held.Load())[print]; held {
 		return Probe{}, k.refuse(now, now.NextProbe.Sub(k.opt.Clock()))
 	}
-	return Probe{}, nil // released meanwhile
+	return Probe{}, nil // released in the meantime
 }
 
-// askJudge asks the daemon that decides on a request, and returns what it knows of it.
+// callDecider calls the daemon that decides on a request, and returns that daemon's record of it.
 func (k *Controller) askJudge(ctx context.Context, judge membership.Member, s quarantine.Assessment, on quarantine.Software) (granted bool, known quarantine.Record, err error) {
 	if judge.ID == k.opt.Self {
 		granted, known = k.grant(s.Record.Fingerprint, on)
@@ -243,7 +247,7 @@
 	return resp.Granted, known, nil
 }
 
-// judge returns the daemon that decides on a request's trials.
+// decider returns the daemon that decides on a request's probes.
 func (k *Controller) judge(print protocol.Fingerprint) (membership.Member, bool) {
 	ranked := membership.Rendezvous(string(print[:]), k.opt.Members())
 	if len(ranked) == 0 {
@@ -252,7 +256,7 @@
 	return ranked[0], true
 }
 
-// grant decides on a trial here.
+// grant decides on a probe at this daemon.
 func (k *Controller) grant(print protocol.Fingerprint, on quarantine.Software) (granted bool, known quarantine.Record) {
 	k.step(func(now time.Time) {
 		granted = k.m.GrantProbe(now, print, on)
@@ -261,7 +265,7 @@
 	return granted, known
 }
 
-// Served takes it that a request, sent at some time, has been answered as it should.
+// ObserveSuccess processes the successful answer to a request that was sent at the given time.
 func (k *Controller) ObserveSuccess(print func() protocol.Fingerprint, sent time.Time) {
 	p := print()
 	k.served.note(p, k.opt.Clock())
@@ -271,13 +275,14 @@
 	k.step(func(now time.Time) { k.m.ObserveSuccess(now, p, sent) })
 }
 
-// step runs f on the machine and publishes what follows; news go to others soon.
+// step runs f on the machine and applies the result; pending records are sent to other daemons
+// soon.
 func (k *Controller) step(f func(now time.Time)) {
 	now := k.opt.Clock()
 	k.mu.Lock()
 	f(now)
 	turned, news := k.m.TakeChanged(), k.m.HasPending()
-	if news || len(turned) > 0 { // an answer to a request without a case changes nothing
+	if news || len(turned) > 0 { // an answer to a request without a record changes nothing
 		held := k.m.Held()
 		k.held.Store(&held)
 	}
@@ -304,7 +309,7 @@
 	k.opt.Log.Info(decisions.EventRequestQuarantined, append(fields, "blame", s.Suspicion, "last_ms_ago", now.Sub(s.LastActivity()).Milliseconds(), "trial_in_ms", s.NextProbe.Sub(now).Milliseconds())...)
 }
 
-// Run asks the others what they know, then passes time on until ctx ends.
+// Run fetches the records of another daemon, then drives the quarantine until ctx ends.
 func (k *Controller) Run(ctx context.Context) error {
 	k.sync(ctx)
 	go k.runTell(ctx)
@@ -323,7 +328,7 @@
 	return nil
 }
 
-// await waits for a tick while something goes on, for longer while nothing does.
+// await waits for a tick while endpoints are watched, otherwise longer.
 func (k *Controller) await(ctx context.Context) {
 	d := expireEvery
 	switch wait, known := k.comparePause(k.opt.Clock()); {
--- a/driver/quarantiner/quarantiner_test.go
+++ b/driver/quarantiner/quarantiner_test.go
@@ -20,12 +20,12 @@
 	"github.com/doorvalve/doorvalve/state/fleet"
 )
 
-// Random harms by hand:
+// Random faults by hand:
 //
 //	go test ./driver/quarantiner -run TestHeldBackUnderRandomHarms -quarantine.seed 1000 -quarantine.runs 400
 var (
-	firstSeed = flag.Uint64("quarantine.seed", 1, "first seed of the random harms")
-	runs      = flag.Int("quarantine.runs", 8, "runs with random harms")
+	firstSeed = flag.Uint64("quarantine.seed", 1, "first seed of the random faults")
+	runs      = flag.Int("quarantine.runs", 8, "runs with random faults")
 )
 
 func printOf(body string) func() protocol.Fingerprint {
@@ -36,7 +36,7 @@
 
 func onV1() quarantine.Software { return 1 }
 
-// endUnder tells a daemon that an engine has ended under a request.
+// crashUnder makes a daemon observe the crash of an engine during a request.
 func endUnder(h *host, body, life string) {
 	sent := h.now().Add(-beginsFor)
 	k := h.current()
@@ -45,7 +45,8 @@
 	})
 }
 
-// Three daemons each see one end; how long until the last of all knows, and at what cost.
+// Guards against records that spread too slowly: three daemons each detect one crash, and all
+// daemons must know within a bound. The number of calls is logged.
 func TestAllDaemonsKnowSoon(t *testing.T) {
 	for _, c := range []struct {
 		daemons int
@@ -77,20 +78,20 @@
 						}
 					}
 					if time.Since(start) > 10*time.Second {
-						t.Fatalf("%d of %d daemons do not know", pending, c.daemons)
+						t.Fatalf("%d of %d daemons do not hold the request back", pending, c.daemons)
 					}
 					time.Sleep(5 * time.Millisecond)
 				}
 				in.mu.Lock()
 				calls := in.calls - before
 				in.mu.Unlock()
-				t.Logf("%d daemons: the last, %s, knew %v after the third end; %d calls", c.daemons, last, lastAt, calls)
+				t.Logf("%d daemons: the last, %s, held the request back %v after the third crash; %d calls", c.daemons, last, lastAt, calls)
 				if lastAt > c.within {
-					t.Errorf("the last daemon knew after %v", lastAt)
+					t.Errorf("the last daemon held the request back after %v", lastAt)
 				}
 				for _, h := range in.hosts {
 					if h.current().CheckHeld(printOf("bad"), onV1) == nil {
-						t.Errorf("%s does not know of the first request", h.name)
+						t.Errorf("%s does not hold the first request back", h.name)
 					}
 				}
 			})
@@ -98,7 +99,8 @@
 	}
 }
 
-// The belief outlasts the restart of each daemon, one after the other, without a store.
+// Guards against records that are lost when each daemon restarts, one after the other, without a
+// store.
 func TestBeliefOutlastsRestarts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		in := newInstallation(5, 1, 1)
@@ -111,7 +113,7 @@
 		for _, h := range in.hosts {
 			h.start()
 			if refused, _ := h.serve("bad", false); !refused {
-				t.Fatalf("%s has started again and sent it at once", h.name)
+				t.Fatalf("%s sent the request at once after its restart", h.name)
 			}
 			time.Sleep(time.Second)
 		}
@@ -120,14 +122,14 @@
 		}
 		for _, h := range in.hosts {
 			if refused, _ := h.serve("bad", false); !refused {
-				t.Fatalf("%s has forgotten", h.name)
+				t.Fatalf("%s lost the record", h.name)
 			}
 		}
 	})
 }
 
-// One trial goes through in the whole system, and a request that passes it is served by
-// all.
+// Guards against several probes at a time: one probe is sent in the whole system, and a request
+// that passes it is served by all daemons.
 func TestOneTrialForAllDaemons(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		in := newInstallation(7, 9, 1)
@@ -143,23 +145,23 @@
 		}
 		wg.Wait()
 		if n := len(in.sends["bad"]); n != 1 {
-			t.Fatalf("%d went through", n)
+			t.Fatalf("%d probes were sent, want 1", n)
 		}
 		time.Sleep(5 * time.Minute)
 		if refused, served := in.hosts[3].serve("bad", false); refused || !served {
-			t.Fatal("its second trial did not go through")
+			t.Fatal("the second probe was not granted")
 		}
 		time.Sleep(time.Second)
 		for _, h := range in.hosts {
 			if refused, _ := h.serve("bad", false); refused {
-				t.Fatalf("%s holds a request back that has passed its trial", h.name)
+				t.Fatalf("%s holds back a request that has passed its probe", h.name)
 			}
 		}
 	})
 }
 
-// The daemon that decides has missed the whole story: it goes by the word of the one that
-// asks, and lets one through.
+// Guards against a deciding daemon that lacks all records: it uses the record of the daemon that
+// asks, and grants one probe.
 func TestIgnorantJudgeGrantsOneTrial(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		in := newInstallation(2, 1, 1)
@@ -180,18 +182,18 @@
 		k.mu.Unlock()
 		for want := range 2 {
 			if _, refusal := asks.current().Admit(context.Background(), printOf("bad"), onV1); (refusal != nil) != (want == 1) {
-				t.Fatalf("question %d: %v", want, refusal)
+				t.Fatalf("call %d: refusal %v", want, refusal)
 			}
 		}
 		if _, refusal := k.Admit(context.Background(), printOf("bad"), onV1); refusal == nil {
-			t.Fatal("a second trial, by the daemon that decides")
+			t.Fatal("a second probe was granted at the deciding daemon")
 		}
 	})
 }
 
-// Trials that reach no endpoint are given back: the next one goes through at once, at
-// whichever daemon, and the hold after one that does reach an endpoint is no longer for
-// them.
+// Guards against probes that reach no endpoint and delay the next one: they are returned, the next
+// probe is sent at once at any daemon, and the hold after a probe that does reach an endpoint is
+// not longer for them.
 func TestTrialThatReachesNothingIsGivenBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		in := newInstallation(7, 1, 1)
@@ -208,29 +210,29 @@
 		for i, h := range in.hosts[:5] {
 			trial, ok := admit(h)
 			if !ok {
-				t.Fatalf("trial %d, at %s, did not go through", i, h.name)
+				t.Fatalf("probe %d, at %s, was not granted", i, h.name)
 			}
 			if _, second := admit(in.hosts[6]); second {
-				t.Fatal("a second one went through beside it")
+				t.Fatal("a second probe was granted beside it")
 			}
 			h.current().ReturnProbe(trial)
-			h.current().ReturnProbe(trial) // once
+			h.current().ReturnProbe(trial) // counts once
 			time.Sleep(time.Second)
 		}
 		if _, ok := admit(in.hosts[5]); !ok {
-			t.Fatal("the trial that reaches an endpoint did not go through")
+			t.Fatal("the probe that reaches an endpoint was not granted")
 		}
 		due := in.hosts[0].current()
 		time.Sleep(time.Second)
 		s, _ := due.standing(printOf("bad"))
 		if wait := s.NextProbe.Sub(due.opt.Clock()); wait < 3*time.Minute || wait > 4*time.Minute {
-			t.Fatalf("the next trial is due in %v: want that of a first one, 4 min", wait)
+			t.Fatalf("the next probe is due in %v, want 4 min as after a first probe", wait)
 		}
 	})
 }
 
-// A daemon whose host was suspended for a minute tries a request no sooner than the others
-// think, and a refusal that it gave before is not believed to be newer than it is.
+// Guards against a daemon whose host was suspended: it must not send a probe earlier than the
+// others, and its retry delay must account for the time of the suspension.
 func TestSuspendedHostKeepsTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		in := newInstallation(3, 1, 1)
@@ -244,22 +246,23 @@
 		k := in.hosts[0].current()
 		r := k.CheckHeld(printOf("bad"), onV1)
 		if r == nil {
-			t.Fatal("it is not held back")
+			t.Fatal("the request is not held back")
 		}
-		// 51 s have gone by its clock, of them 25 s twice: by the clock of this test, which
-		// went on, and by what the host was suspended.
+		// By its clock 51 s have passed, of them 25 s twice: by the clock of this test, which kept
+		// running, and by the time the host was suspended.
 		if r.RetryAfter > 10*time.Second {
-			t.Fatalf("come back after %v, by a clock that stood still", r.RetryAfter)
+			t.Fatalf("retry after %v, by a clock that ignores the suspension", r.RetryAfter)
 		}
 	})
 }
 
-// harmfulSeeds are seeds that have failed once.
+// failedSeeds are seeds that have failed once.
 var harmfulSeeds = []uint64{}
 
-// Crashing requests among innocent ones, crash waves, broken connections, daemons that are
-// cut off, suspended and that forget: a request that ends engines reaches hardly any after
-// its third, and the others are served.
+// Guards against requests that crash engines and are sent on, and against other requests that are
+// held back, under crash waves, broken connections, and daemons that are partitioned, suspended or
+// restarted: after its third crash such a request reaches hardly any engine, and the other requests
+// are served.
 func TestHeldBackUnderRandomHarms(t *testing.T) {
 	seeds := append([]uint64(nil), harmfulSeeds...)
 	for i := range *runs {
@@ -298,10 +301,10 @@
 	wg.Wait()
 	in.stop()
 	for i := range bad {
-		// What only a daemon saw that ended or was cut off before it could tell, nobody
-		// else can know: each such end allows one more send.
+		// Other daemons cannot know of crashes that were detected only by a daemon which stopped or
+		// was partitioned before it could report them: each such crash allows one more send.
 		if n := in.lateSends(fmt.Sprint("bad", i)); n > 3+in.untold[fmt.Sprint("bad", i)] {
-			t.Errorf("%d sends long after the third end under a request; %d ended in all, %d of them seen by a daemon that could not tell", n, len(in.ends[fmt.Sprint("bad", i)]), in.untold[fmt.Sprint("bad", i)])
+			t.Errorf("%d sends long after the third crash during a request; %d crashes in all, %d of them detected by a daemon that could not report them", n, len(in.ends[fmt.Sprint("bad", i)]), in.untold[fmt.Sprint("bad", i)])
 		}
 	}
 	if r := refused.Load(); r*200 > innocent.Load() {
@@ -310,7 +313,7 @@
 	t.Logf("%d of %d innocent requests were held back", refused.Load(), innocent.Load())
 }
 
-// comeAgain is the caller of a request that ends engines.
+// retryBad is the caller of a request that crashes engines.
 func (in *installation) comeAgain(body string, end time.Time) {
 	for time.Now().Before(end) {
 		in.hosts[in.chance(len(in.hosts))].serve(body, true)
@@ -318,13 +321,13 @@
 	}
 }
 
-// harm disturbs daemons and engines.
+// injectFaults disturbs daemons and engines.
 func (in *installation) harm(end time.Time) {
 	for time.Now().Before(end) {
 		h, e := in.hosts[in.chance(len(in.hosts))], in.engines[in.chance(len(in.engines))]
 		switch in.chance(5) {
 		case 0:
-			h.start() // it has forgotten
+			h.start() // loses its records
 		case 1:
 			h.disturb(time.Duration(500+in.chance(8000))*time.Millisecond, false)
 		case 2:
@@ -333,14 +336,14 @@
 			e.reset()
 		default:
 			_, over, _ := e.life()
-			e.end(over, downFor) // by itself
+			e.end(over, downFor) // without a request as the cause
 		}
 		time.Sleep(time.Duration(in.chance(4000)) * time.Millisecond)
 	}
 }
 
-// A connection that breaks while the endpoint lives counts against nobody, and costs the
-// endpoint a few connections however many requests it breaks.
+// Guards against connections that break while the endpoint is up: they count against no request,
+// and cost the endpoint only a few connections however many requests break.
 func TestBrokenConnectionsBlameNobody(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		in := newInstallation(1, 1, 1)
@@ -356,16 +359,17 @@
 		}
 		time.Sleep(10 * time.Second)
 		if n := k.known.Load(); n != 0 || k.watching() {
-			t.Errorf("%d requests are blamed", n)
+			t.Errorf("%d requests have a record, want none", n)
 		}
 		if n := dials.Load(); n > checksMost {
-			t.Errorf("%d connections to ask", n)
+			t.Errorf("%d connections for checks", n)
 		}
 	})
 }
 
-// An endpoint whose lives bear no start ends, is back within the time for which its last
-// end is looked into, breaks a connection and lives on: nobody is blamed for that.
+// Guards against a crash that is attributed to the next incarnation of an endpoint without start
+// times: the endpoint crashes, restarts while the crash is still being checked, breaks a connection
+// and stays up. That must count against no request.
 func TestNextLifeWithoutAStartIsAskedItself(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		in := newInstallation(1, 1, 1)
@@ -386,20 +390,21 @@
 		}
 		broke("bad")
 		if n := k.known.Load(); n != 1 {
-			t.Fatalf("%d requests are blamed for the end", n)
+			t.Fatalf("%d requests have a record after the crash, want 1", n)
 		}
 		there = true
 		time.Sleep(3 * time.Second)
 		broke("innocent")
 		if n := k.known.Load(); n != 1 {
-			t.Fatalf("%d requests are blamed; the second life goes on", n)
+			t.Fatalf("%d requests have a record, want 1: the second incarnation is up", n)
 		}
 	})
 }
 
-// A request that one daemon has just served runs at three others, and all three attempts end
-// with one engine, which another request has ended: the word of the one that served it is
-// enough, though that one has seen nothing of the end.
+// Guards against a popular request that is held back: one daemon has just served it, it runs at
+// three others, and all three attempts fail when one engine crashes because of another request. The
+// report of the daemon that served it must be enough, although that daemon has not detected the
+// crash.
 func TestServedElsewhereIsNotBlamed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		in := newInstallation(5, 1, 1)
@@ -419,17 +424,18 @@
 		time.Sleep(2 * time.Second)
 		for _, h := range in.hosts {
 			if h.current().CheckHeld(printOf("popular"), onV1) != nil {
-				t.Errorf("%s holds the popular request back", h.name)
+				t.Errorf("%s holds back the popular request", h.name)
 			}
 			if h.current().CheckHeld(printOf("bad"), onV1) == nil {
-				t.Errorf("%s does not hold the other one back", h.name)
+				t.Errorf("%s does not hold back the other request", h.name)
 			}
 		}
 	})
 }
 
-// Equal requests of many callers run everywhere. Where all that serve them are lost at
-// once, and once more when they are back, they are served as before.
+// Guards against popular requests that are held back: equal requests of many callers run
+// everywhere, all engines that serve them are lost at once, and once more after they have
+// restarted.
 func TestPopularRequestsAreNotBlamed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		in := newInstallation(3, 5, 1)
@@ -466,8 +472,9 @@
 	})
 }
 
-// All daemons lose power at once. The first end under the request that was held back brings
-// the record back, and with it the time of the next trial. The store is called a few times.
+// Guards against records that are lost when all daemons lose power at once. The first crash during
+// the held request makes a daemon read the record in the store, and with it the time of the next
+// probe. The store must be called only a few times.
 func TestRecordOutlastsAllDaemons(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		in := newInstallation(5, 9, 1)
@@ -485,11 +492,11 @@
 		time.Sleep(2 * time.Second)
 		for _, h := range in.hosts {
 			if refused, _ := h.serve("bad", true); !refused {
-				t.Fatalf("%s has forgotten", h.name)
+				t.Fatalf("%s lost the record", h.name)
 			}
 		}
 		if n := len(in.ends["bad"]); n > attempts {
-			t.Errorf("%d more ended", n)
+			t.Errorf("%d more crashes", n)
 		}
 		time.Sleep(50 * time.Second)
 		if n := in.store.Calls(); n > 8 {
@@ -498,8 +505,8 @@
 	})
 }
 
-// Guards against a record that is gone for good where the store comes back from a copy of before: one
-// daemon writes it again. The store is called a few times.
+// Guards against a record that stays lost where the store is restored from an older copy: one
+// daemon writes it again, and the store is called only a few times.
 func TestRecordOutlastsARestore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		in := newInstallation(5, 9, 1)
@@ -515,7 +522,7 @@
 		in.heard.Observe(in.store.Generation(), "test")
 		time.Sleep(3 * time.Second)
 		if n := in.store.Calls() - before; n > 2 {
-			t.Errorf("%d calls to the store after its return, want a read and a write", n)
+			t.Errorf("%d calls to the store after the restore, want a read and a write", n)
 		}
 		var rec heldBackRecord
 		if _, err := in.store.ReadRecord(t.Context(), recordName, &rec); err != nil {
@@ -523,7 +530,7 @@
 		}
 		var told quarantinepb.ExchangeRequest
 		if err := proto.Unmarshal(rec.Cases, &told); err != nil || len(told.Cases) != 1 {
-			t.Errorf("%d cases in the record, want 1 (%v)", len(told.Cases), err)
+			t.Errorf("%d records in the stored record, want 1 (%v)", len(told.Cases), err)
 		}
 	})
 }
--- a/driver/quarantiner/record.go
+++ b/driver/quarantiner/record.go
@@ -11,21 +11,21 @@
 	"github.com/doorvalve/doorvalve/protocol/quarantinepb"
 )
 
-// What daemons know of each other's ends with the last of them. The requests that are held
-// back stand in one record of the store as well, written by one daemon when they change, a
-// few times for each request. It is read only when an endpoint has ended under a request
-// and this daemon does not know of the record yet: never on a day on which none does.
+// The records in the memory of daemons are lost when all of them fail. The requests that are held
+// back are therefore also kept in one record in the store. One daemon writes it when they change, a
+// few times for each request. It is read only when an endpoint has crashed during a request and
+// this daemon has not read the record yet, so never while no endpoint crashes.
 
-// recordName names the record in the store.
+// recordName is the name of the record in the store.
 const recordName = "held-back"
 
 // heldBackRecord is the object in the store.
 type heldBackRecord struct {
-	SavedUnixMs int64  `json:"saved_unix_ms"` // by the writer's time of day; ages are as of then
+	SavedUnixMs int64  `json:"saved_unix_ms"` // by the writer's wall clock; ages are as of then
 	Cases       []byte `json:"cases"`         // quarantinepb.ExchangeRequest
 }
 
-// keepRecord reads or writes the record, if that is due and this daemon's to do.
+// keepRecord reads or writes the record if that is due and this daemon is its writer.
 func (k *Controller) keepRecord(ctx context.Context, now time.Time) {
 	if k.known.Load() == 0 || !k.record.Due(now) || !k.record.IsWriter(k.opt.Self, k.opt.Members()) {
 		return
--- a/driver/quarantiner/served.go
+++ b/driver/quarantiner/served.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	// servedSlots bounds the requests that are known to have been served lately: 32 KB.
-	// At 20 requests a second, which is what each of 370 daemons has of 7,100, they last
-	// for some minutes.
+	// servedSlots bounds the requests that are known to have been served recently: 32 KB. At 20
+	// requests a second, which is the share of each of 370 daemons in 7,100, the entries last for
+	// some minutes.
 	servedSlots = 4096
-	// servedFor is how long a request counts as served lately.
+	// servedFor is how long a request counts as served recently.
 	servedFor = 30 * time.Second
 )
 
-// servedTable remembers which requests were served lately, one in each slot: those that
-// come again and again, whose endpoints rather end for another reason. It is safe for
+// servedTable records which requests were served recently, one in each slot: where such requests
+// are sent repeatedly, crashes of their endpoints more likely have another cause. It is safe for
 // concurrent use. The zero value is empty.
 type servedTable struct {
 	slots [servedSlots]atomic.Uint64 // half a fingerprint, then Unix seconds
@@ -34,7 +34,7 @@
 	slot.Store(tag | uint64(uint32(now.Unix())))
 }
 
-// lately reports whether the request was served shortly before it was sent.
+// recently reports whether the request was served shortly before it was sent.
 func (t *servedTable) lately(print protocol.Fingerprint, sent time.Time) bool {
 	slot, tag := t.slot(print)
 	v := slot.Load()
--- a/driver/quarantiner/tell.go
+++ b/driver/quarantiner/tell.go
@@ -13,8 +13,8 @@
 	"github.com/doorvalve/doorvalve/protocol/quarantinepb"
 )
 
-// runTell tells the others what is new until ctx ends: the first at once, what comes
-// shortly after together, since an endpoint ends under requests of many daemons.
+// runSend sends new records to the other daemons until ctx ends: the first at once and those that
+// follow shortly after together, since an endpoint crashes during requests of many daemons.
 func (k *Controller) runTell(ctx context.Context) {
 	for ctx.Err() == nil {
 		select {
@@ -47,15 +47,15 @@
 	return list
 }
 
-// tell sends news to some other daemons at once.
+// send sends records to some other daemons concurrently.
 func (k *Controller) tell(req *quarantinepb.ExchangeRequest) {
 	list := k.others()
 	for _, m := range list[:min(fanout, len(list))] {
-		go func() { _, _ = k.exchange(context.Background(), m, req) }() // a comparison makes up for what is lost
+		go func() { _, _ = k.exchange(context.Background(), m, req) }() // the next comparison replaces lost messages
 	}
 }
 
-// exchange makes one call and takes its answer.
+// exchange makes one call and merges the records of the answer.
 func (k *Controller) exchange(ctx context.Context, m membership.Member, req *quarantinepb.ExchangeRequest) (*quarantinepb.ExchangeResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -68,7 +68,7 @@
 	return resp, nil
 }
 
-// learn takes what another daemon has told.
+// merge merges records received from another daemon.
 func (k *Controller) learn(cases []quarantine.Record) {
 	if len(cases) == 0 {
 		return
@@ -90,8 +90,7 @@
 	}
 }
 
-// sync asks others for all that they know, until one has answered that has not just
-// started itself.
+// sync asks other daemons for their records until one has answered that is synced itself.
 func (k *Controller) sync(ctx context.Context) {
 	defer close(k.synced)
 	for ctx.Err() == nil && k.opt.Clock().Sub(k.started) < syncWithin {
@@ -115,8 +114,7 @@
 	}
 }
 
-// comparePause returns the pause between two comparisons; there are none while nothing is
-// known.
+// comparePause returns the time between two comparisons; ok is false while there are no records.
 func (k *Controller) comparePause(now time.Time) (time.Duration, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -129,7 +127,7 @@
 	return compareLater, true
 }
 
-// compare brings this daemon and another one to the same belief.
+// compare synchronizes the records with those of another daemon.
 func (k *Controller) compare(ctx context.Context) {
 	list := k.others()
 	if len(list) == 0 {
@@ -140,7 +138,7 @@
 	k.mu.Unlock()
 	resp, err := k.exchange(ctx, list[0], &quarantinepb.ExchangeRequest{Ask: true, Digest: digest})
 	if err != nil || resp.Digest == digest {
-		return // another one is next
+		return // the next comparison is with another daemon
 	}
 	k.mu.Lock()
 	req := &quarantinepb.ExchangeRequest{Digest: k.m.Digest()}
@@ -149,7 +147,7 @@
 	}
 	k.mu.Unlock()
 	if len(req.Cases) > 0 {
-		_, _ = k.exchange(ctx, list[0], req) // the next comparison makes up for it
+		_, _ = k.exchange(ctx, list[0], req) // the next comparison replaces a lost message
 	}
 }
 
@@ -165,7 +163,7 @@
 	return resp, nil
 }
 
-// errNoCase refuses a trial of nothing.
+// errNoRecord refuses a probe call without a valid record.
 var errNoCase = errors.New("no whole case to decide on")
 
 // Trial implements quarantinepb.Quarantine.
--- a/driver/quarantiner/wire.go
+++ b/driver/quarantiner/wire.go
@@ -9,7 +9,7 @@
 	"github.com/doorvalve/doorvalve/state/fleet"
 )
 
-// Times go between daemons as ages, since their clocks differ.
+// Times are sent between daemons as ages, since their clocks differ.
 
 func toWire(now time.Time, cases []quarantine.Record) []*quarantinepb.Case {
 	out := make([]*quarantinepb.Case, len(cases))
@@ -45,8 +45,8 @@
 	return out
 }
 
-// caseFromWire decodes a case; one without a whole fingerprint or without ends says
-// nothing.
+// recordFromWire decodes a record. It reports false for one without a complete fingerprint or
+// without crashes, which carries no information.
 func caseFromWire(now time.Time, in *quarantinepb.Case) (quarantine.Record, bool) {
 	c := quarantine.Record{Probes: int(in.GetTrials()), Returned: int(in.GetReturned()), LastReturned: int(in.GetReopened())}
 	if len(in.GetFingerprint()) != len(c.Fingerprint) || len(in.GetEnds()) == 0 {
