--- a/driver/quarantiner/broken.go
+++ b/driver/quarantiner/broken.go
@@ -20,15 +20,15 @@
 	checkTimeout = 200 * time.Millisecond
 	// checkEvery is the time until an endpoint that still accepts connections is checked again: its
 	// listener may close after its connections.
-	checkAgain = 250 * time.Millisecond
+	checkEvery = 250 * time.Millisecond
 	// maxChecks bounds the checks of one incarnation, so that broken connections cost an endpoint
 	// which is up only a few new connections.
-	checksMost = 3
+	maxChecks = 3
 	// brokenFor is how long a broken attempt waits for evidence that its endpoint has crashed. It
 	// is longer than removed endpoints stay in the list.
 	brokenFor = 6 * time.Second
 	// maxBroken bounds the incarnations that are watched. Further ones are taken to be up.
-	mostBroken = 256
+	maxBroken = 256
 )
 
 // BrokenAttempt is an attempt whose connection to the endpoint broke before its answer was
@@ -46,101 +46,101 @@
 // broken is an incarnation of an endpoint whose connections broke. Whether it has crashed is not
 // known at first: connections can also be cut on the way.
 type broken struct {
-	address  string
-	leaving  bool // it had reported leaving, or was no longer listed: its end is expected
-	since    time.Time
-	order    int64 // see quarantine.Crash
-	ended    bool
-	endedAt  time.Time // when the crash was detected
-	checks   int
-	checkAt  time.Time       // of the next check
-	checking chan struct{}   // closed when the running check ends; nil if none is running
-	attempts []BrokenAttempt // not counted yet
+	address   string
+	leaving   bool // it had reported leaving, or was no longer listed: its end is expected
+	since     time.Time
+	order     int64 // see quarantine.Crash
+	crashed   bool
+	crashedAt time.Time // when the crash was detected
+	checks    int
+	checkAt   time.Time       // of the next check
+	checking  chan struct{}   // closed when the running check ends; nil if none is running
+	attempts  []BrokenAttempt // not counted yet
 }
 
 // ObserveBroken processes a broken attempt. It returns when the endpoint has been checked, a few
 // milliseconds later, so that the choice of the next endpoint takes the result into account.
-func (k *Controller) ObserveBroken(ctx context.Context, a BrokenAttempt) {
-	now := k.opt.Clock()
-	listed, leaving := k.opt.Endpoint(a.Incarnation)
+func (c *Controller) ObserveBroken(ctx context.Context, a BrokenAttempt) {
+	now := c.opt.Clock()
+	listed, leaving := c.opt.Endpoint(a.Incarnation)
 	leaving = leaving || !listed // removed from the list before its connections broke
-	k.mu.Lock()
-	b := k.broken[a.Incarnation]
+	c.mu.Lock()
+	b := c.broken[a.Incarnation]
 	if b != nil && b.followedBy(a) {
 		b = nil
 	}
 	if b == nil {
-		if len(k.broken) >= mostBroken {
-			k.mu.Unlock()
-			k.opt.Log.Warn(decisions.EventEndpointCrashed, "endpoint", a.Incarnation.ID, "error", "too many endpoints broke at once; this one is not looked at")
+		if len(c.broken) >= maxBroken {
+			c.mu.Unlock()
+			c.opt.Log.Warn(decisions.EventEndpointCrashed, "endpoint", a.Incarnation.ID, "error", "too many endpoints broke at once; this one is not looked at")
 			return
 		}
 		b = &broken{address: a.Address, leaving: leaving, since: now, order: time.Now().UnixMilli()}
-		k.broken[a.Incarnation] = b
+		c.broken[a.Incarnation] = b
 	}
 	leaving = b.leaving
 	b.attempts = append(b.attempts, a)
-	k.mu.Unlock()
-	wake.Once(k.wake)
+	c.mu.Unlock()
+	wake.Once(c.wake)
 	if leaving {
 		return
 	}
-	k.ask(ctx, a.Incarnation, b)
-	k.count(a.Incarnation, b)
+	c.checkOnce(ctx, a.Incarnation, b)
+	c.count(a.Incarnation, b)
 }
 
 // followedBy reports whether an attempt was sent to the next incarnation of an endpoint whose
 // incarnations have no start time: it was sent after the crash of the previous one was detected.
 func (b *broken) followedBy(a BrokenAttempt) bool {
-	return a.Incarnation.StartUnixMs == 0 && b.ended && a.Sent.After(b.endedAt)
+	return a.Incarnation.StartUnixMs == 0 && b.crashed && a.Sent.After(b.crashedAt)
 }
 
 // markCrashed records that the incarnation has crashed; the caller holds the mutex.
-func (b *broken) end(now time.Time) {
-	if !b.ended {
-		b.ended, b.endedAt = true, now
+func (b *broken) markCrashed(now time.Time) {
+	if !b.crashed {
+		b.crashed, b.crashedAt = true, now
 	}
 }
 
 // ObserveDialError processes a failure to connect to an endpoint: if nothing listens there, the
 // endpoint crashed during the attempts that broke shortly before.
-func (k *Controller) ObserveDialError(life fleet.Incarnation, err error) {
+func (c *Controller) ObserveDialError(inc fleet.Incarnation, err error) {
 	if !IsConnectionRefused(err) {
 		return
 	}
-	k.mu.Lock()
-	b := k.broken[life]
+	c.mu.Lock()
+	b := c.broken[inc]
 	if b != nil {
-		b.end(k.opt.Clock())
+		b.markCrashed(c.opt.Clock())
 	}
-	k.mu.Unlock()
+	c.mu.Unlock()
 	if b != nil {
-		k.count(life, b)
+		c.count(inc, b)
 	}
 }
 
 // checkOnce checks whether an endpoint is up, once for all attempts that broke together.
-func (k *Controller) ask(ctx context.Context, life fleet.Incarnation, b *broken) {
-	k.mu.Lock()
+func (c *Controller) checkOnce(ctx context.Context, inc fleet.Incarnation, b *broken) {
+	c.mu.Lock()
 	waiting := b.checking
-	now := k.opt.Clock()
-	mine := !b.ended && waiting == nil && b.checks < checksMost && !now.Before(b.checkAt)
-	if mine {
+	now := c.opt.Clock()
+	own := !b.crashed && waiting == nil && b.checks < maxChecks && !now.Before(b.checkAt)
+	if own {
 		b.checking = make(chan struct{})
 		b.checks++
-		b.checkAt = now.Add(checkAgain)
+		b.checkAt = now.Add(checkEvery)
 	}
-	k.mu.Unlock()
+	c.mu.Unlock()
 	switch {
-	case mine:
-		err := k.opt.Dial(context.WithoutCancel(ctx), b.address)
-		k.mu.Lock()
+	case own:
+		err := c.opt.Dial(context.WithoutCancel(ctx), b.address)
+		c.mu.Lock()
 		if IsConnectionRefused(err) {
-			b.end(k.opt.Clock())
+			b.markCrashed(c.opt.Clock())
 		}
 		close(b.checking)
 		b.checking = nil
-		k.mu.Unlock()
+		c.mu.Unlock()
 	case waiting != nil:
 		select {
 		case <-waiting:
@@ -150,67 +150,67 @@
 }
 
 // count counts the attempts during which an endpoint crashed, if it has crashed.
-func (k *Controller) count(life fleet.Incarnation, b *broken) {
-	k.mu.Lock()
+func (c *Controller) count(inc fleet.Incarnation, b *broken) {
+	c.mu.Lock()
 	attempts := b.attempts
-	if !b.ended || b.leaving || len(attempts) == 0 {
-		k.mu.Unlock()
+	if !b.crashed || b.leaving || len(attempts) == 0 {
+		c.mu.Unlock()
 		return
 	}
 	b.attempts = nil
-	k.mu.Unlock()
-	k.opt.OnCrash(life)
-	k.metrics.ended.Inc(int64(len(attempts)))
-	k.opt.Log.Info(decisions.EventEndpointCrashed, "endpoint", life.ID, "born", life.StartUnixMs, "attempts", len(attempts), "after_ms", k.opt.Clock().Sub(b.since).Milliseconds())
-	k.step(func(now time.Time) {
+	c.mu.Unlock()
+	c.opt.OnCrash(inc)
+	c.metrics.crashed.Inc(int64(len(attempts)))
+	c.opt.Log.Info(decisions.EventEndpointCrashed, "endpoint", inc.ID, "born", inc.StartUnixMs, "attempts", len(attempts), "after_ms", c.opt.Clock().Sub(b.since).Milliseconds())
+	c.step(func(now time.Time) {
 		for _, a := range attempts {
-			end := quarantine.Crash{Incarnation: life, Doubtful: a.AnswerBegan, ServedBefore: k.served.lately(a.Fingerprint, a.Sent), Sent: a.Sent, At: b.since, Order: b.order}
-			if !end.Doubtful {
-				end.Attempts = []uint32{quarantine.AttemptTag(a.Request)}
+			crash := quarantine.Crash{Incarnation: inc, Doubtful: a.AnswerBegan, ServedBefore: c.served.recently(a.Fingerprint, a.Sent), Sent: a.Sent, At: b.since, Order: b.order}
+			if !crash.Doubtful {
+				crash.Attempts = []uint32{quarantine.AttemptTag(a.Request)}
 			}
-			k.m.ObserveCrash(now, quarantine.CrashedAttempt{Fingerprint: a.Fingerprint, Crash: end, Software: a.Software})
+			c.m.ObserveCrash(now, quarantine.CrashedAttempt{Fingerprint: a.Fingerprint, Crash: crash, Software: a.Software})
 		}
 	})
 }
 
 // watching reports whether there are incarnations of which it is not known whether they crashed.
-func (k *Controller) watching() bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return len(k.broken) > 0
+func (c *Controller) watching() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return len(c.broken) > 0
 }
 
 // check repeats the checks of endpoints whose connections broke. An endpoint that is no longer
 // listed although it had not reported leaving is taken to have crashed.
-func (k *Controller) check(ctx context.Context) {
-	now := k.opt.Clock()
-	k.mu.Lock()
-	list := make(map[fleet.Incarnation]*broken, len(k.broken))
-	for life, b := range k.broken {
+func (c *Controller) check(ctx context.Context) {
+	now := c.opt.Clock()
+	c.mu.Lock()
+	list := make(map[fleet.Incarnation]*broken, len(c.broken))
+	for inc, b := range c.broken {
 		if now.Sub(b.since) > brokenFor {
-			delete(k.broken, life)
+			delete(c.broken, inc)
 			continue
 		}
-		list[life] = b
+		list[inc] = b
 	}
-	k.mu.Unlock()
-	for life, b := range list {
-		listed, leaving := k.opt.Endpoint(life)
-		k.mu.Lock()
+	c.mu.Unlock()
+	for inc, b := range list {
+		listed, leaving := c.opt.Endpoint(inc)
+		c.mu.Lock()
 		b.leaving = b.leaving || leaving
 		if !listed && !b.leaving {
-			b.end(now)
+			b.markCrashed(now)
 		}
-		ask := !b.leaving && !b.ended && b.checks < checksMost && b.checking == nil && !now.Before(b.checkAt)
-		k.mu.Unlock()
-		if ask {
+		checkNow := !b.leaving && !b.crashed && b.checks < maxChecks && b.checking == nil && !now.Before(b.checkAt)
+		c.mu.Unlock()
+		if checkNow {
 			go func() {
-				k.ask(ctx, life, b)
-				k.count(life, b)
+				c.checkOnce(ctx, inc, b)
+				c.count(inc, b)
 			}()
 			continue
 		}
-		k.count(life, b)
+		c.count(inc, b)
 	}
 }
 
--- a/driver/quarantiner/fleet_test.go
+++ b/driver/quarantiner/fleet_test.go
@@ -26,17 +26,17 @@
 
 // installation runs daemons and engines in virtual time.
 type installation struct {
-	log     *decisions.Log
-	mu      sync.Mutex
-	rng     *rand.Rand
-	hosts   []*host
-	engines []*engine
-	calls   int
-	sends   map[string][]send
-	ends    map[string][]time.Time
-	store   *record.Store
-	heard   *generations.Tracker // generations of the store, shared by all daemons
-	untold  map[string]int       // by request: crashes detected only by a daemon that was partitioned or stopped before it could report them
+	log         *decisions.Log
+	mu          sync.Mutex
+	rng         *rand.Rand
+	hosts       []*host
+	engines     []*engine
+	calls       int
+	sends       map[string][]send
+	crashes     map[string][]time.Time
+	store       *record.Store
+	generations *generations.Tracker // generations of the store, shared by all daemons
+	unreported  map[string]int       // by request: crashes detected only by a daemon that was partitioned or stopped before it could report them
 }
 
 // host runs the controllers of one daemon, one after the other.
@@ -44,25 +44,25 @@
 	in   *installation
 	name string
 
-	mu        sync.Mutex
-	keeper    *Controller
-	stop      context.CancelFunc
-	cut       bool          // partitioned from all other daemons
-	suspended time.Duration // how far its clock is ahead
-	calmSince time.Time
+	mu             sync.Mutex
+	controller     *Controller
+	stop           context.CancelFunc
+	partitioned    bool          // partitioned from all other daemons
+	suspended      time.Duration // how far its clock is ahead
+	connectedSince time.Time
 }
 
 // send is a request that reached an engine.
 type send struct {
-	at      time.Time
-	inTouch bool
+	at        time.Time
+	connected bool
 }
 
 func newInstallation(hosts, engines int, seed uint64) *installation {
-	in := &installation{log: decisions.New(io.Discard, "test", hclog.Off), rng: rand.New(rand.NewPCG(seed, 0)), sends: map[string][]send{}, ends: map[string][]time.Time{}, untold: map[string]int{}, store: &record.Store{}}
-	in.heard = generations.New(in.log, tally.NoopScope)
+	in := &installation{log: decisions.New(io.Discard, "test", hclog.Off), rng: rand.New(rand.NewPCG(seed, 0)), sends: map[string][]send{}, crashes: map[string][]time.Time{}, unreported: map[string]int{}, store: &record.Store{}}
+	in.generations = generations.New(in.log, tally.NoopScope)
 	for i := range engines {
-		in.engines = append(in.engines, &engine{in: in, name: fmt.Sprintf("e%d", i), up: true, over: make(chan struct{})})
+		in.engines = append(in.engines, &engine{in: in, name: fmt.Sprintf("e%d", i), up: true, ended: make(chan struct{})})
 	}
 	for i := range hosts {
 		h := &host{in: in, name: fmt.Sprintf("h%d", i)}
@@ -91,17 +91,17 @@
 // start starts a daemon without records.
 func (h *host) start() {
 	ctx, cancel := context.WithCancel(context.Background())
-	k := New(Options{
+	c := New(Options{
 		Self: h.name, Members: h.in.members, Peer: func(address string) quarantinepb.Quarantine { return link{h, address} },
-		Endpoint: h.in.endpoint, Dial: h.in.dial, Clock: h.now, Store: h.in.store, Generations: h.in.heard, Log: h.in.log, Metrics: tally.NoopScope,
+		Endpoint: h.in.endpoint, Dial: h.in.dial, Clock: h.now, Store: h.in.store, Generations: h.in.generations, Log: h.in.log, Metrics: tally.NoopScope,
 	})
 	h.mu.Lock()
 	if h.stop != nil {
 		h.stop()
 	}
-	h.keeper, h.stop, h.calmSince = k, cancel, time.Now()
+	h.controller, h.stop, h.connectedSince = c, cancel, time.Now()
 	h.mu.Unlock()
-	go func() { _ = k.Run(ctx) }()
+	go func() { _ = c.Run(ctx) }()
 }
 
 func (h *host) now() time.Time {
@@ -113,27 +113,27 @@
 func (h *host) current() *Controller {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.keeper
+	return h.controller
 }
 
 // disturb partitions the daemon from the others for a while.
 func (h *host) disturb(d time.Duration, suspend bool) {
 	h.mu.Lock()
-	h.cut, h.calmSince = true, time.Now().Add(d)
+	h.partitioned, h.connectedSince = true, time.Now().Add(d)
 	h.mu.Unlock()
 	time.Sleep(d)
 	h.mu.Lock()
-	h.cut = false
+	h.partitioned = false
 	if suspend {
 		h.suspended += d
 	}
 	h.mu.Unlock()
 }
 
-func (h *host) inTouch() bool {
+func (h *host) connected() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return !h.cut && time.Since(h.calmSince) > stableWindow
+	return !h.partitioned && time.Since(h.connectedSince) > stableWindow
 }
 
 func (in *installation) members() []membership.Member {
@@ -150,9 +150,9 @@
 	to   string
 }
 
-var errCut = errors.New("cut off")
+var errPartitioned = errors.New("partitioned")
 
-func (l link) way(ctx context.Context) (*Controller, error) {
+func (l link) connect(ctx context.Context) (*Controller, error) {
 	in := l.from.in
 	in.mu.Lock()
 	in.calls++
@@ -163,30 +163,30 @@
 	time.Sleep(time.Duration(1+in.chance(5)) * time.Millisecond)
 	for _, h := range []*host{l.from, to} {
 		h.mu.Lock()
-		cut := h.cut
+		partitioned := h.partitioned
 		h.mu.Unlock()
-		if cut {
+		if partitioned {
 			<-ctx.Done()
-			return nil, errCut
+			return nil, errPartitioned
 		}
 	}
 	return to.current(), nil
 }
 
 func (l link) Exchange(ctx context.Context, req *quarantinepb.ExchangeRequest) (*quarantinepb.ExchangeResponse, error) {
-	k, err := l.way(ctx)
+	c, err := l.connect(ctx)
 	if err != nil {
 		return nil, err
 	}
-	return k.Exchange(ctx, req)
+	return c.Exchange(ctx, req)
 }
 
 func (l link) Trial(ctx context.Context, req *quarantinepb.TrialRequest) (*quarantinepb.TrialResponse, error) {
-	k, err := l.way(ctx)
+	c, err := l.connect(ctx)
 	if err != nil {
 		return nil, err
 	}
-	return k.Trial(ctx, req)
+	return c.Trial(ctx, req)
 }
 
 // engine is an engine that crashes during some requests and restarts after a while.
@@ -194,32 +194,32 @@
 	in   *installation
 	name string
 
-	mu    sync.Mutex
-	lives int
-	up    bool
-	over  chan struct{} // closed when this incarnation ends
+	mu       sync.Mutex
+	restarts int
+	up       bool
+	ended    chan struct{} // closed when this incarnation ends
 }
 
-func (e *engine) life() (fleet.Incarnation, chan struct{}, bool) {
+func (e *engine) incarnation() (fleet.Incarnation, chan struct{}, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return fleet.Incarnation{ID: fmt.Sprintf("%s.%d", e.name, e.lives)}, e.over, e.up
+	return fleet.Incarnation{ID: fmt.Sprintf("%s.%d", e.name, e.restarts)}, e.ended, e.up
 }
 
 // crash ends an incarnation, if it is still the current one.
-func (e *engine) end(over chan struct{}, down time.Duration) bool {
+func (e *engine) crash(ended chan struct{}, down time.Duration) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if !e.up || e.over != over {
+	if !e.up || e.ended != ended {
 		return false
 	}
 	e.up = false
-	close(over)
+	close(ended)
 	time.AfterFunc(down, func() {
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		e.up, e.over = true, make(chan struct{})
-		e.lives++
+		e.up, e.ended = true, make(chan struct{})
+		e.restarts++
 	})
 	return true
 }
@@ -229,8 +229,8 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.up {
-		close(e.over)
-		e.over = make(chan struct{})
+		close(e.ended)
+		e.ended = make(chan struct{})
 	}
 }
 
@@ -240,7 +240,7 @@
 }
 
 func (in *installation) dial(_ context.Context, address string) error {
-	if _, _, up := in.byName(address).life(); !up {
+	if _, _, up := in.byName(address).incarnation(); !up {
 		return syscall.ECONNREFUSED
 	}
 	return nil
@@ -248,9 +248,9 @@
 
 // endpoint reports the current list of endpoints. A real list is up to two seconds late; here that
 // only matters for the daemons' own checks.
-func (in *installation) endpoint(life fleet.Incarnation) (listed, leaving bool) {
+func (in *installation) endpoint(inc fleet.Incarnation) (listed, leaving bool) {
 	for _, e := range in.engines {
-		if now, _, _ := e.life(); now == life {
+		if now, _, _ := e.incarnation(); now == inc {
 			return true, false
 		}
 	}
@@ -267,83 +267,83 @@
 
 // serve sends a request as a daemon does. It reports whether the request was refused because it is
 // held back, and whether it was served.
-func (h *host) serve(body string, ends bool) (refused, served bool) {
-	k := h.current()
+func (h *host) serve(body string, crashes bool) (refused, served bool) {
+	c := h.current()
 	print := func() protocol.Fingerprint {
 		return protocol.FingerprintOf("POST", "/", "", "caller", []byte(body))
 	}
 	on := func() quarantine.Software { return 1 }
 	for range attempts {
-		if k.CheckHeld(print, on) != nil {
+		if c.CheckHeld(print, on) != nil {
 			return true, false
 		}
-		trial, refusal := k.Admit(context.Background(), print, on)
+		probe, refusal := c.Admit(context.Background(), print, on)
 		if refusal != nil {
 			return true, false
 		}
 		e := h.in.engines[h.in.chance(len(h.in.engines))]
-		life, over, up := e.life()
+		inc, ended, up := e.incarnation()
 		if !up {
-			k.ObserveDialError(life, syscall.ECONNREFUSED)
-			k.ReturnProbe(trial)
+			c.ObserveDialError(inc, syscall.ECONNREFUSED)
+			c.ReturnProbe(probe)
 			continue
 		}
 		sent := h.now()
-		h.in.note(h, body)
-		if ends {
+		h.in.noteSend(h, body)
+		if crashes {
 			time.Sleep(beginsFor)
-			if e.end(over, downFor) {
-				h.in.noteEnd(h, body)
+			if e.crash(ended, downFor) {
+				h.in.noteCrash(h, body)
 			}
 		}
 		select {
-		case <-over:
+		case <-ended:
 		case <-time.After(runsFor):
-			k.ObserveSuccess(print, sent)
+			c.ObserveSuccess(print, sent)
 			return false, true
 		}
-		k.ObserveBroken(context.Background(), BrokenAttempt{Fingerprint: print(), Incarnation: life, Address: e.name, Sent: sent, AnswerBegan: h.now().Sub(sent) > beginsFor+30*time.Millisecond, Software: 1})
+		c.ObserveBroken(context.Background(), BrokenAttempt{Fingerprint: print(), Incarnation: inc, Address: e.name, Sent: sent, AnswerBegan: h.now().Sub(sent) > beginsFor+30*time.Millisecond, Software: 1})
 	}
 	return false, false
 }
 
-func (in *installation) note(h *host, body string) {
-	s := send{time.Now(), h.inTouch()}
+func (in *installation) noteSend(h *host, body string) {
+	s := send{time.Now(), h.connected()}
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	in.sends[body] = append(in.sends[body], s)
 }
 
-func (in *installation) noteEnd(h *host, body string) {
+func (in *installation) noteCrash(h *host, body string) {
 	in.mu.Lock()
-	in.ends[body] = append(in.ends[body], time.Now())
+	in.crashes[body] = append(in.crashes[body], time.Now())
 	in.mu.Unlock()
-	k := h.current()
-	time.AfterFunc(tellsWithin, func() {
+	c := h.current()
+	time.AfterFunc(reportsWithin, func() {
 		h.mu.Lock()
-		untold := h.cut || h.keeper != k
+		unreported := h.partitioned || h.controller != c
 		h.mu.Unlock()
 		in.mu.Lock()
 		defer in.mu.Unlock()
-		if untold {
-			in.untold[body]++
+		if unreported {
+			in.unreported[body]++
 		}
 	})
 }
 
 // reportsWithin is how long a daemon takes to report a crash to others.
-const tellsWithin = 200 * time.Millisecond
+const reportsWithin = 200 * time.Millisecond
 
 // lateSends counts the sends that reached engines too long after the third crash during a request.
 func (in *installation) lateSends(body string) int {
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	if len(in.ends[body]) < 3 {
+	if len(in.crashes[body]) < 3 {
 		return 0
 	}
 	n := 0
 	for _, s := range in.sends[body] {
-		if s.inTouch && s.at.Sub(in.ends[body][2]) > stableWindow {
+		if s.connected && s.at.Sub(in.crashes[body][2]) > stableWindow {
 			n++
 		}
 	}
--- a/driver/quarantiner/quarantiner.go
+++ b/driver/quarantiner/quarantiner.go
@@ -36,7 +36,7 @@
 	fanout = 3
 	// sendEvery is the least time between two rounds of new records: an endpoint with slots for
 	// many daemons crashes for all of them at once.
-	tellEvery = 50 * time.Millisecond
+	sendEvery = 50 * time.Millisecond
 	// compareSoon is the interval of comparisons with another daemon for spreadFor after the latest
 	// change, and compareLater is the interval while there are any records.
 	compareSoon  = 500 * time.Millisecond
@@ -54,7 +54,7 @@
 	expireEvery = 10 * time.Second
 	// recentCrash is the age up to which a crash reported by another daemon is passed to
 	// Options.OnCrash, so that the endpoint is not used right after its crash.
-	justEnded = time.Second
+	recentCrash = time.Second
 	// retryUndecided is the retry delay if the daemon that decides on a probe cannot be reached.
 	retryUndecided = time.Second
 )
@@ -92,28 +92,28 @@
 	synced  chan struct{} // closed when a synced daemon has answered, or after syncWithin
 	started time.Time
 	wake    chan struct{} // signals Run that there is something to do
-	news    chan struct{} // signals that there are pending records
+	pending chan struct{} // signals that there are pending records
 	metrics metrics
 
 	// held is the copy that requests read: the requests that are held back, usually none.
-	held  atomic.Pointer[map[protocol.Fingerprint]quarantine.Assessment]
-	known atomic.Int64 // number of records
+	held        atomic.Pointer[map[protocol.Fingerprint]quarantine.Assessment]
+	recordCount atomic.Int64 // number of records
 
 	served servedTable
 	// record and recorded, the digest of its content, are used by Run only.
 	record   record.Record
 	recorded uint64
 
-	mu      sync.Mutex
-	m       *quarantine.Machine
-	broken  map[fleet.Incarnation]*broken
-	newsAt  time.Time
-	expired time.Time
+	mu        sync.Mutex
+	m         *quarantine.Machine
+	broken    map[fleet.Incarnation]*broken
+	changedAt time.Time
+	expiredAt time.Time
 }
 
 type metrics struct {
-	ended, refused, trials, told tally.Counter
-	held, cases                  tally.Gauge
+	crashed, refused, probes, messages tally.Counter
+	held, records                      tally.Gauge
 }
 
 // New returns a controller without records.
@@ -128,24 +128,24 @@
 		opt.Dial = dial
 	}
 	s := opt.Metrics.SubScope("quarantine")
-	k := &Controller{opt: opt, synced: make(chan struct{}), started: opt.Clock(), wake: make(chan struct{}, 1), news: make(chan struct{}, 1), m: quarantine.New(), record: record.New(opt.Store, opt.Generations, recordName), broken: map[fleet.Incarnation]*broken{}, metrics: metrics{
-		ended: s.Counter("attempts_ended_with_endpoint_total"), refused: s.Counter("requests_refused_total"), trials: s.Counter("trials_total"),
-		told: s.Counter("messages_total"), held: s.Gauge("requests_held"), cases: s.Gauge("cases"),
+	c := &Controller{opt: opt, synced: make(chan struct{}), started: opt.Clock(), wake: make(chan struct{}, 1), pending: make(chan struct{}, 1), m: quarantine.New(), record: record.New(opt.Store, opt.Generations, recordName), broken: map[fleet.Incarnation]*broken{}, metrics: metrics{
+		crashed: s.Counter("attempts_ended_with_endpoint_total"), refused: s.Counter("requests_refused_total"), probes: s.Counter("trials_total"),
+		messages: s.Counter("messages_total"), held: s.Gauge("requests_held"), records: s.Gauge("cases"),
 	}}
-	k.held.Store(&map[protocol.Fingerprint]quarantine.Assessment{})
-	return k
+	c.held.Store(&map[protocol.Fingerprint]quarantine.Assessment{})
+	return c
 }
 
 // CheckHeld refuses a request that is held back and whose probe is not due; the refusal carries the
 // retry delay. While no request is held back it costs one atomic read, and the functions are not
 // called.
-func (k *Controller) CheckHeld(print func() protocol.Fingerprint, on func() quarantine.Software) *protocol.Refusal {
-	s, held := k.standing(print)
+func (c *Controller) CheckHeld(print func() protocol.Fingerprint, on func() quarantine.Software) *protocol.Refusal {
+	a, held := c.assessment(print)
 	if !held {
 		return nil
 	}
-	if now := k.opt.Clock(); !s.ProbeDue(now, on()) {
-		return k.refuse(s, s.NextProbe.Sub(now))
+	if now := c.opt.Clock(); !a.ProbeDue(now, on()) {
+		return c.refuse(a, a.NextProbe.Sub(now))
 	}
 	return nil
 }
@@ -159,97 +159,97 @@
 
 // WaitSynced waits until a newly started daemon has received the records of a synced one, or has
 // found none within syncWithin.
-func (k *Controller) WaitSynced(ctx context.Context) {
-	if !k.settled() {
-		pause.Until(ctx, time.Now().Add(syncWithin), k.synced)
+func (c *Controller) WaitSynced(ctx context.Context) {
+	if !c.settled() {
+		pause.Until(ctx, time.Now().Add(syncWithin), c.synced)
 	}
 }
 
 // Admit is CheckHeld immediately before a request is sent: a request whose probe is due is admitted
 // if the daemon that decides on it grants the probe. A newly started daemon first waits for the
 // records of others.
-func (k *Controller) Admit(ctx context.Context, print func() protocol.Fingerprint, on func() quarantine.Software) (Probe, *protocol.Refusal) {
-	k.WaitSynced(ctx)
-	if refusal := k.CheckHeld(print, on); refusal != nil {
+func (c *Controller) Admit(ctx context.Context, print func() protocol.Fingerprint, on func() quarantine.Software) (Probe, *protocol.Refusal) {
+	c.WaitSynced(ctx)
+	if refusal := c.CheckHeld(print, on); refusal != nil {
 		return Probe{}, refusal
 	}
-	if s, held := k.standing(print); held {
-		return k.trial(ctx, s, on())
+	if a, held := c.assessment(print); held {
+		return c.requestProbe(ctx, a, on())
 	}
 	return Probe{}, nil
 }
 
 // ReturnProbe processes a probe that has reached no endpoint, so that another one may be sent at
 // once.
-func (k *Controller) ReturnProbe(t Probe) {
-	if t.number == 0 {
+func (c *Controller) ReturnProbe(p Probe) {
+	if p.number == 0 {
 		return
 	}
-	k.step(func(now time.Time) { k.m.ReturnProbe(now, t.print, t.number) })
-	k.opt.Log.Info(decisions.EventQuarantineProbe, "fingerprint", t.print.String(), "given_back", t.number)
+	c.step(func(now time.Time) { c.m.ReturnProbe(now, p.print, p.number) })
+	c.opt.Log.Info(decisions.EventQuarantineProbe, "fingerprint", p.print.String(), "given_back", p.number)
 }
 
-func (k *Controller) standing(print func() protocol.Fingerprint) (quarantine.Assessment, bool) {
-	held := *k.held.Load()
+func (c *Controller) assessment(print func() protocol.Fingerprint) (quarantine.Assessment, bool) {
+	held := *c.held.Load()
 	if len(held) == 0 {
 		return quarantine.Assessment{}, false
 	}
-	s, ok := held[print()]
-	return s, ok
+	a, ok := held[print()]
+	return a, ok
 }
 
-func (k *Controller) refuse(s quarantine.Assessment, after time.Duration) *protocol.Refusal {
-	k.metrics.refused.Inc(1)
-	detail := fmt.Sprintf("endpoints have ended under this request, one after the other: %s; it is tried again later", strings.Join(s.CrashedEndpoints(), ", "))
+func (c *Controller) refuse(a quarantine.Assessment, after time.Duration) *protocol.Refusal {
+	c.metrics.refused.Inc(1)
+	detail := fmt.Sprintf("endpoints have ended under this request, one after the other: %s; it is tried again later", strings.Join(a.CrashedEndpoints(), ", "))
 	return protocol.Refuse(http.StatusServiceUnavailable, ReasonHeldBack, detail, max(after, retryUndecided))
 }
 
 // requestProbe asks the daemon that decides on the request whether its probe may be sent now. One
 // daemon decides for all.
-func (k *Controller) trial(ctx context.Context, s quarantine.Assessment, on quarantine.Software) (Probe, *protocol.Refusal) {
-	print := s.Record.Fingerprint
-	judge, ok := k.judge(print)
+func (c *Controller) requestProbe(ctx context.Context, a quarantine.Assessment, on quarantine.Software) (Probe, *protocol.Refusal) {
+	print := a.Record.Fingerprint
+	decider, ok := c.decider(print)
 	if !ok {
-		return Probe{}, k.refuse(s, retryUndecided)
+		return Probe{}, c.refuse(a, retryUndecided)
 	}
-	granted, known, err := k.askJudge(ctx, judge, s, on)
-	k.opt.Log.Info(decisions.EventQuarantineProbe, "fingerprint", print.String(), "decides", judge.ID, "granted", granted, "trials", known.Probes, "error", err)
+	granted, known, err := c.callDecider(ctx, decider, a, on)
+	c.opt.Log.Info(decisions.EventQuarantineProbe, "fingerprint", print.String(), "decides", decider.ID, "granted", granted, "trials", known.Probes, "error", err)
 	if err != nil {
-		return Probe{}, k.refuse(s, retryUndecided)
+		return Probe{}, c.refuse(a, retryUndecided)
 	}
 	if granted {
-		k.metrics.trials.Inc(1)
+		c.metrics.probes.Inc(1)
 		return Probe{print: print, number: known.Probes}, nil
 	}
-	if now, held := (*k.held.Load())[print]; held {
-		return Probe{}, k.refuse(now, now.NextProbe.Sub(k.opt.Clock()))
+	if now, held := (*c.held.Load())[print]; held {
+		return Probe{}, c.refuse(now, now.NextProbe.Sub(c.opt.Clock()))
 	}
 	return Probe{}, nil // released in the meantime
 }
 
 // callDecider calls the daemon that decides on a request, and returns that daemon's record of it.
-func (k *Controller) askJudge(ctx context.Context, judge membership.Member, s quarantine.Assessment, on quarantine.Software) (granted bool, known quarantine.Record, err error) {
-	if judge.ID == k.opt.Self {
-		granted, known = k.grant(s.Record.Fingerprint, on)
+func (c *Controller) callDecider(ctx context.Context, decider membership.Member, a quarantine.Assessment, on quarantine.Software) (granted bool, known quarantine.Record, err error) {
+	if decider.ID == c.opt.Self {
+		granted, known = c.grant(a.Record.Fingerprint, on)
 		return granted, known, nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	resp, err := k.opt.Peer(judge.PeerAddress).Trial(ctx, &quarantinepb.TrialRequest{Software: uint64(on), Case: caseToWire(k.opt.Clock(), &s.Record)})
+	resp, err := c.opt.Peer(decider.PeerAddress).Trial(ctx, &quarantinepb.TrialRequest{Software: uint64(on), Case: recordToWire(c.opt.Clock(), &a.Record)})
 	if err != nil {
-		return false, s.Record, err
+		return false, a.Record, err
 	}
-	cases := fromWire(k.opt.Clock(), []*quarantinepb.Case{resp.Case})
-	k.learn(cases)
-	if len(cases) > 0 {
-		known = cases[0]
+	records := fromWire(c.opt.Clock(), []*quarantinepb.Case{resp.Case})
+	c.merge(records)
+	if len(records) > 0 {
+		known = records[0]
 	}
 	return resp.Granted, known, nil
 }
 
 // decider returns the daemon that decides on a request's probes.
-func (k *Controller) judge(print protocol.Fingerprint) (membership.Member, bool) {
-	ranked := membership.Rendezvous(string(print[:]), k.opt.Members())
+func (c *Controller) decider(print protocol.Fingerprint) (membership.Member, bool) {
+	ranked := membership.Rendezvous(string(print[:]), c.opt.Members())
 	if len(ranked) == 0 {
 		return membership.Member{}, false
 	}
@@ -257,100 +257,100 @@
 }
 
 // grant decides on a probe at this daemon.
-func (k *Controller) grant(print protocol.Fingerprint, on quarantine.Software) (granted bool, known quarantine.Record) {
-	k.step(func(now time.Time) {
-		granted = k.m.GrantProbe(now, print, on)
-		known, _ = k.m.Lookup(print)
+func (c *Controller) grant(print protocol.Fingerprint, on quarantine.Software) (granted bool, known quarantine.Record) {
+	c.step(func(now time.Time) {
+		granted = c.m.GrantProbe(now, print, on)
+		known, _ = c.m.Lookup(print)
 	})
 	return granted, known
 }
 
 // ObserveSuccess processes the successful answer to a request that was sent at the given time.
-func (k *Controller) ObserveSuccess(print func() protocol.Fingerprint, sent time.Time) {
+func (c *Controller) ObserveSuccess(print func() protocol.Fingerprint, sent time.Time) {
 	p := print()
-	k.served.note(p, k.opt.Clock())
-	if k.known.Load() == 0 {
+	c.served.add(p, c.opt.Clock())
+	if c.recordCount.Load() == 0 {
 		return
 	}
-	k.step(func(now time.Time) { k.m.ObserveSuccess(now, p, sent) })
+	c.step(func(now time.Time) { c.m.ObserveSuccess(now, p, sent) })
 }
 
 // step runs f on the machine and applies the result; pending records are sent to other daemons
 // soon.
-func (k *Controller) step(f func(now time.Time)) {
-	now := k.opt.Clock()
-	k.mu.Lock()
+func (c *Controller) step(f func(now time.Time)) {
+	now := c.opt.Clock()
+	c.mu.Lock()
 	f(now)
-	turned, news := k.m.TakeChanged(), k.m.HasPending()
-	if news || len(turned) > 0 { // an answer to a request without a record changes nothing
-		held := k.m.Held()
-		k.held.Store(&held)
+	changed, pending := c.m.TakeChanged(), c.m.HasPending()
+	if pending || len(changed) > 0 { // an answer to a request without a record changes nothing
+		held := c.m.Held()
+		c.held.Store(&held)
 	}
-	k.known.Store(int64(k.m.Len()))
-	if news {
-		k.newsAt = now
+	c.recordCount.Store(int64(c.m.Len()))
+	if pending {
+		c.changedAt = now
 	}
-	k.mu.Unlock()
-	for _, s := range turned {
-		k.logTurned(now, s)
+	c.mu.Unlock()
+	for _, a := range changed {
+		c.logChanged(now, a)
 	}
-	if news {
-		wake.Once(k.news)
-		wake.Once(k.wake)
+	if pending {
+		wake.Once(c.pending)
+		wake.Once(c.wake)
 	}
 }
 
-func (k *Controller) logTurned(now time.Time, s quarantine.Assessment) {
-	fields := []any{"fingerprint", s.Record.Fingerprint.String(), "endpoints", s.CrashedEndpoints(), "trials", s.Record.Probes}
-	if !s.Held() {
-		k.opt.Log.Info(decisions.EventQuarantineLifted, fields...)
+func (c *Controller) logChanged(now time.Time, a quarantine.Assessment) {
+	fields := []any{"fingerprint", a.Record.Fingerprint.String(), "endpoints", a.CrashedEndpoints(), "trials", a.Record.Probes}
+	if !a.Held() {
+		c.opt.Log.Info(decisions.EventQuarantineLifted, fields...)
 		return
 	}
-	k.opt.Log.Info(decisions.EventRequestQuarantined, append(fields, "blame", s.Suspicion, "last_ms_ago", now.Sub(s.LastActivity()).Milliseconds(), "trial_in_ms", s.NextProbe.Sub(now).Milliseconds())...)
+	c.opt.Log.Info(decisions.EventRequestQuarantined, append(fields, "blame", a.Suspicion, "last_ms_ago", now.Sub(a.LastActivity()).Milliseconds(), "trial_in_ms", a.NextProbe.Sub(now).Milliseconds())...)
 }
 
 // Run fetches the records of another daemon, then drives the quarantine until ctx ends.
-func (k *Controller) Run(ctx context.Context) error {
-	k.sync(ctx)
-	go k.runTell(ctx)
-	compared := k.opt.Clock()
+func (c *Controller) Run(ctx context.Context) error {
+	c.sync(ctx)
+	go c.runSend(ctx)
+	compared := c.opt.Clock()
 	for ctx.Err() == nil {
-		k.await(ctx)
-		now := k.opt.Clock()
-		k.check(ctx)
-		k.gauge(now)
-		k.keepRecord(ctx, now)
-		if wait, ok := k.comparePause(now); ok && now.Sub(compared) >= wait {
+		c.await(ctx)
+		now := c.opt.Clock()
+		c.check(ctx)
+		c.expire(now)
+		c.keepRecord(ctx, now)
+		if wait, ok := c.comparePause(now); ok && now.Sub(compared) >= wait {
 			compared = now
-			k.compare(ctx)
+			c.compare(ctx)
 		}
 	}
 	return nil
 }
 
 // await waits for a tick while endpoints are watched, otherwise longer.
-func (k *Controller) await(ctx context.Context) {
+func (c *Controller) await(ctx context.Context) {
 	d := expireEvery
-	switch wait, known := k.comparePause(k.opt.Clock()); {
-	case k.watching():
+	switch wait, known := c.comparePause(c.opt.Clock()); {
+	case c.watching():
 		d = tick
 	case known:
 		d = min(wait, record.MinCallInterval)
 	}
-	pause.Until(ctx, time.Now().Add(d), k.wake)
+	pause.Until(ctx, time.Now().Add(d), c.wake)
 }
 
-func (k *Controller) gauge(now time.Time) {
-	k.mu.Lock()
-	due := now.Sub(k.expired) >= expireEvery
+func (c *Controller) expire(now time.Time) {
+	c.mu.Lock()
+	due := now.Sub(c.expiredAt) >= expireEvery
 	if due {
-		k.expired = now
+		c.expiredAt = now
 	}
-	k.mu.Unlock()
+	c.mu.Unlock()
 	if !due {
 		return
 	}
-	k.step(func(now time.Time) { k.m.Expire(now) })
-	k.metrics.held.Update(float64(len(*k.held.Load())))
-	k.metrics.cases.Update(float64(k.known.Load()))
+	c.step(func(now time.Time) { c.m.Expire(now) })
+	c.metrics.held.Update(float64(len(*c.held.Load())))
+	c.metrics.records.Update(float64(c.recordCount.Load()))
 }
--- a/driver/quarantiner/quarantiner_test.go
+++ b/driver/quarantiner/quarantiner_test.go
@@ -28,7 +28,7 @@
 	runs      = flag.Int("quarantine.runs", 8, "runs with random faults")
 )
 
-func printOf(body string) func() protocol.Fingerprint {
+func fingerprintOf(body string) func() protocol.Fingerprint {
 	return func() protocol.Fingerprint {
 		return protocol.FingerprintOf("POST", "/", "", "caller", []byte(body))
 	}
@@ -37,11 +37,11 @@
 func onV1() quarantine.Software { return 1 }
 
 // crashUnder makes a daemon observe the crash of an engine during a request.
-func endUnder(h *host, body, life string) {
+func crashUnder(h *host, body, inc string) {
 	sent := h.now().Add(-beginsFor)
-	k := h.current()
-	k.step(func(now time.Time) {
-		k.m.ObserveCrash(now, quarantine.CrashedAttempt{Fingerprint: printOf(body)(), Software: 1, Crash: quarantine.Crash{Incarnation: fleet.Incarnation{ID: life}, Sent: sent, At: now, Order: now.UnixMilli()}})
+	c := h.current()
+	c.step(func(now time.Time) {
+		c.m.ObserveCrash(now, quarantine.CrashedAttempt{Fingerprint: fingerprintOf(body)(), Software: 1, Crash: quarantine.Crash{Incarnation: fleet.Incarnation{ID: inc}, Sent: sent, At: now, Order: now.UnixMilli()}})
 	})
 }
 
@@ -58,21 +58,21 @@
 				defer in.stop()
 				time.Sleep(3 * time.Second)
 				for i := range 3 {
-					endUnder(in.hosts[i], "bad", fmt.Sprint("e", i))
+					crashUnder(in.hosts[i], "bad", fmt.Sprint("e", i))
 					time.Sleep(time.Second)
 				}
 				in.mu.Lock()
 				before := in.calls
 				in.mu.Unlock()
 				start := time.Now()
-				endUnder(in.hosts[0], "worse", "f0")
-				endUnder(in.hosts[1], "worse", "f1")
-				endUnder(in.hosts[2], "worse", "f2")
+				crashUnder(in.hosts[0], "worse", "f0")
+				crashUnder(in.hosts[1], "worse", "f1")
+				crashUnder(in.hosts[2], "worse", "f2")
 				last, lastAt := "", time.Duration(0)
 				for pending := len(in.hosts); pending > 0; {
 					pending = 0
 					for _, h := range in.hosts {
-						if h.current().CheckHeld(printOf("worse"), onV1) == nil {
+						if h.current().CheckHeld(fingerprintOf("worse"), onV1) == nil {
 							pending++
 							last, lastAt = h.name, time.Since(start)
 						}
@@ -90,7 +90,7 @@
 					t.Errorf("the last daemon held the request back after %v", lastAt)
 				}
 				for _, h := range in.hosts {
-					if h.current().CheckHeld(printOf("bad"), onV1) == nil {
+					if h.current().CheckHeld(fingerprintOf("bad"), onV1) == nil {
 						t.Errorf("%s does not hold the first request back", h.name)
 					}
 				}
@@ -107,7 +107,7 @@
 		defer in.stop()
 		time.Sleep(2 * time.Second)
 		for i := range 3 {
-			endUnder(in.hosts[0], "bad", fmt.Sprint("e", i))
+			crashUnder(in.hosts[0], "bad", fmt.Sprint("e", i))
 		}
 		time.Sleep(time.Second)
 		for _, h := range in.hosts {
@@ -130,13 +130,13 @@
 
 // Guards against several probes at a time: one probe is sent in the whole system, and a request
 // that passes it is served by all daemons.
-func TestOneTrialForAllDaemons(t *testing.T) {
+func TestOneProbeForAllDaemons(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		in := newInstallation(7, 9, 1)
 		defer in.stop()
 		time.Sleep(2 * time.Second)
 		for i := range 3 {
-			endUnder(in.hosts[i], "bad", fmt.Sprint("x", i))
+			crashUnder(in.hosts[i], "bad", fmt.Sprint("x", i))
 		}
 		time.Sleep(62 * time.Second)
 		var wg sync.WaitGroup
@@ -162,30 +162,30 @@
 
 // Guards against a deciding daemon that lacks all records: it uses the record of the daemon that
 // asks, and grants one probe.
-func TestIgnorantJudgeGrantsOneTrial(t *testing.T) {
+func TestDeciderWithoutRecordsGrantsOneProbe(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		in := newInstallation(2, 1, 1)
 		defer in.stop()
 		time.Sleep(2 * time.Second)
-		print := printOf("bad")()
-		asks, decides := in.hosts[0], in.hosts[1]
-		if judge, _ := asks.current().judge(print); judge.ID == asks.name {
-			asks, decides = decides, asks
+		print := fingerprintOf("bad")()
+		asking, deciding := in.hosts[0], in.hosts[1]
+		if decider, _ := asking.current().decider(print); decider.ID == asking.name {
+			asking, deciding = deciding, asking
 		}
 		for i := range 3 {
-			endUnder(asks, "bad", fmt.Sprint("x", i))
+			crashUnder(asking, "bad", fmt.Sprint("x", i))
 		}
 		time.Sleep(61 * time.Second)
-		k := decides.current()
-		k.mu.Lock()
-		k.m = quarantine.New()
-		k.mu.Unlock()
+		c := deciding.current()
+		c.mu.Lock()
+		c.m = quarantine.New()
+		c.mu.Unlock()
 		for want := range 2 {
-			if _, refusal := asks.current().Admit(context.Background(), printOf("bad"), onV1); (refusal != nil) != (want == 1) {
+			if _, refusal := asking.current().Admit(context.Background(), fingerprintOf("bad"), onV1); (refusal != nil) != (want == 1) {
 				t.Fatalf("call %d: refusal %v", want, refusal)
 			}
 		}
-		if _, refusal := k.Admit(context.Background(), printOf("bad"), onV1); refusal == nil {
+		if _, refusal := c.Admit(context.Background(), fingerprintOf("bad"), onV1); refusal == nil {
 			t.Fatal("a second probe was granted at the deciding daemon")
 		}
 	})
@@ -200,32 +200,32 @@
 		defer in.stop()
 		time.Sleep(2 * time.Second)
 		for i := range 3 {
-			endUnder(in.hosts[i], "bad", fmt.Sprint("x", i))
+			crashUnder(in.hosts[i], "bad", fmt.Sprint("x", i))
 		}
 		time.Sleep(61 * time.Second)
 		admit := func(h *host) (Probe, bool) {
-			trial, refusal := h.current().Admit(context.Background(), printOf("bad"), onV1)
-			return trial, refusal == nil
+			probe, refusal := h.current().Admit(context.Background(), fingerprintOf("bad"), onV1)
+			return probe, refusal == nil
 		}
 		for i, h := range in.hosts[:5] {
-			trial, ok := admit(h)
+			probe, ok := admit(h)
 			if !ok {
 				t.Fatalf("probe %d, at %s, was not granted", i, h.name)
 			}
 			if _, second := admit(in.hosts[6]); second {
 				t.Fatal("a second probe was granted beside it")
 			}
-			h.current().ReturnProbe(trial)
-			h.current().ReturnProbe(trial) // counts once
+			h.current().ReturnProbe(probe)
+			h.current().ReturnProbe(probe) // counts once
 			time.Sleep(time.Second)
 		}
 		if _, ok := admit(in.hosts[5]); !ok {
 			t.Fatal("the probe that reaches an endpoint was not granted")
 		}
-		due := in.hosts[0].current()
+		c := in.hosts[0].current()
 		time.Sleep(time.Second)
-		s, _ := due.standing(printOf("bad"))
-		if wait := s.NextProbe.Sub(due.opt.Clock()); wait < 3*time.Minute || wait > 4*time.Minute {
+		a, _ := c.assessment(fingerprintOf("bad"))
+		if wait := a.NextProbe.Sub(c.opt.Clock()); wait < 3*time.Minute || wait > 4*time.Minute {
 			t.Fatalf("the next probe is due in %v, want 4 min as after a first probe", wait)
 		}
 	})
@@ -239,12 +239,12 @@
 		defer in.stop()
 		time.Sleep(2 * time.Second)
 		for i := range 3 {
-			endUnder(in.hosts[i], "bad", fmt.Sprint("x", i))
+			crashUnder(in.hosts[i], "bad", fmt.Sprint("x", i))
 		}
 		time.Sleep(time.Second)
 		in.hosts[0].disturb(25*time.Second, true)
-		k := in.hosts[0].current()
-		r := k.CheckHeld(printOf("bad"), onV1)
+		c := in.hosts[0].current()
+		r := c.CheckHeld(fingerprintOf("bad"), onV1)
 		if r == nil {
 			t.Fatal("the request is not held back")
 		}
@@ -257,25 +257,25 @@
 }
 
 // failedSeeds are seeds that have failed once.
-var harmfulSeeds = []uint64{}
+var failedSeeds = []uint64{}
 
 // Guards against requests that crash engines and are sent on, and against other requests that are
 // held back, under crash waves, broken connections, and daemons that are partitioned, suspended or
 // restarted: after its third crash such a request reaches hardly any engine, and the other requests
 // are served.
 func TestHeldBackUnderRandomHarms(t *testing.T) {
-	seeds := append([]uint64(nil), harmfulSeeds...)
+	seeds := append([]uint64(nil), failedSeeds...)
 	for i := range *runs {
 		seeds = append(seeds, *firstSeed+uint64(i))
 	}
 	for _, seed := range seeds {
 		t.Run(fmt.Sprint("seed=", seed), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { randomHarms(t, seed) })
+			synctest.Test(t, func(t *testing.T) { randomFaults(t, seed) })
 		})
 	}
 }
 
-func randomHarms(t *testing.T, seed uint64) {
+func randomFaults(t *testing.T, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	in := newInstallation(3+rng.IntN(6), 5+rng.IntN(8), seed)
 	time.Sleep(4 * time.Second)
@@ -283,7 +283,7 @@
 	var wg sync.WaitGroup
 	bad := 1 + rng.IntN(3)
 	for i := range bad {
-		wg.Go(func() { in.comeAgain(fmt.Sprint("bad", i), end) })
+		wg.Go(func() { in.retryBad(fmt.Sprint("bad", i), end) })
 	}
 	var innocent, refused atomic.Int64
 	wg.Go(func() {
@@ -297,14 +297,14 @@
 			})
 		}
 	})
-	wg.Go(func() { in.harm(end) })
+	wg.Go(func() { in.injectFaults(end) })
 	wg.Wait()
 	in.stop()
 	for i := range bad {
 		// Other daemons cannot know of crashes that were detected only by a daemon which stopped or
 		// was partitioned before it could report them: each such crash allows one more send.
-		if n := in.lateSends(fmt.Sprint("bad", i)); n > 3+in.untold[fmt.Sprint("bad", i)] {
-			t.Errorf("%d sends long after the third crash during a request; %d crashes in all, %d of them detected by a daemon that could not report them", n, len(in.ends[fmt.Sprint("bad", i)]), in.untold[fmt.Sprint("bad", i)])
+		if n := in.lateSends(fmt.Sprint("bad", i)); n > 3+in.unreported[fmt.Sprint("bad", i)] {
+			t.Errorf("%d sends long after the third crash during a request; %d crashes in all, %d of them detected by a daemon that could not report them", n, len(in.crashes[fmt.Sprint("bad", i)]), in.unreported[fmt.Sprint("bad", i)])
 		}
 	}
 	if r := refused.Load(); r*200 > innocent.Load() {
@@ -314,7 +314,7 @@
 }
 
 // retryBad is the caller of a request that crashes engines.
-func (in *installation) comeAgain(body string, end time.Time) {
+func (in *installation) retryBad(body string, end time.Time) {
 	for time.Now().Before(end) {
 		in.hosts[in.chance(len(in.hosts))].serve(body, true)
 		time.Sleep(time.Duration(100+in.chance(1500)) * time.Millisecond)
@@ -322,7 +322,7 @@
 }
 
 // injectFaults disturbs daemons and engines.
-func (in *installation) harm(end time.Time) {
+func (in *installation) injectFaults(end time.Time) {
 	for time.Now().Before(end) {
 		h, e := in.hosts[in.chance(len(in.hosts))], in.engines[in.chance(len(in.engines))]
 		switch in.chance(5) {
@@ -335,8 +335,8 @@
 		case 3:
 			e.reset()
 		default:
-			_, over, _ := e.life()
-			e.end(over, downFor) // without a request as the cause
+			_, ended, _ := e.incarnation()
+			e.crash(ended, downFor) // without a request as the cause
 		}
 		time.Sleep(time.Duration(in.chance(4000)) * time.Millisecond)
 	}
@@ -350,18 +350,18 @@
 		defer in.stop()
 		time.Sleep(2 * time.Second)
 		var dials atomic.Int64
-		k := in.hosts[0].current()
-		k.opt.Dial = func(context.Context, string) error { dials.Add(1); return nil }
-		life, _, _ := in.engines[0].life()
+		c := in.hosts[0].current()
+		c.opt.Dial = func(context.Context, string) error { dials.Add(1); return nil }
+		inc, _, _ := in.engines[0].incarnation()
 		for i := range 100 {
-			k.ObserveBroken(context.Background(), BrokenAttempt{Fingerprint: printOf(fmt.Sprint(i % 5))(), Incarnation: life, Address: "e0", Sent: time.Now()})
+			c.ObserveBroken(context.Background(), BrokenAttempt{Fingerprint: fingerprintOf(fmt.Sprint(i % 5))(), Incarnation: inc, Address: "e0", Sent: time.Now()})
 			time.Sleep(10 * time.Millisecond)
 		}
 		time.Sleep(10 * time.Second)
-		if n := k.known.Load(); n != 0 || k.watching() {
+		if n := c.recordCount.Load(); n != 0 || c.watching() {
 			t.Errorf("%d requests have a record, want none", n)
 		}
-		if n := dials.Load(); n > checksMost {
+		if n := dials.Load(); n > maxChecks {
 			t.Errorf("%d connections for checks", n)
 		}
 	})
@@ -375,27 +375,27 @@
 		in := newInstallation(1, 1, 1)
 		defer in.stop()
 		time.Sleep(2 * time.Second)
-		k := in.hosts[0].current()
-		there := false
-		k.opt.Endpoint = func(fleet.Incarnation) (listed, leaving bool) { return true, false }
-		k.opt.Dial = func(context.Context, string) error {
-			if there {
+		c := in.hosts[0].current()
+		up := false
+		c.opt.Endpoint = func(fleet.Incarnation) (listed, leaving bool) { return true, false }
+		c.opt.Dial = func(context.Context, string) error {
+			if up {
 				return nil
 			}
 			return syscall.ECONNREFUSED
 		}
-		life := fleet.Incarnation{ID: "e0"}
+		inc := fleet.Incarnation{ID: "e0"}
 		broke := func(request string) {
-			k.ObserveBroken(context.Background(), BrokenAttempt{Fingerprint: printOf(request)(), Incarnation: life, Address: "e0", Sent: time.Now()})
+			c.ObserveBroken(context.Background(), BrokenAttempt{Fingerprint: fingerprintOf(request)(), Incarnation: inc, Address: "e0", Sent: time.Now()})
 		}
 		broke("bad")
-		if n := k.known.Load(); n != 1 {
+		if n := c.recordCount.Load(); n != 1 {
 			t.Fatalf("%d requests have a record after the crash, want 1", n)
 		}
-		there = true
+		up = true
 		time.Sleep(3 * time.Second)
 		broke("innocent")
-		if n := k.known.Load(); n != 1 {
+		if n := c.recordCount.Load(); n != 1 {
 			t.Fatalf("%d requests have a record, want 1: the second incarnation is up", n)
 		}
 	})
@@ -410,23 +410,23 @@
 		in := newInstallation(5, 1, 1)
 		defer in.stop()
 		time.Sleep(2 * time.Second)
-		in.hosts[0].current().ObserveSuccess(printOf("popular"), time.Now())
+		in.hosts[0].current().ObserveSuccess(fingerprintOf("popular"), time.Now())
 		time.Sleep(3 * time.Second)
-		life, _, _ := in.engines[0].life()
+		inc, _, _ := in.engines[0].incarnation()
 		for i, h := range in.hosts[1:4] {
-			k := h.current()
-			k.opt.Endpoint = func(fleet.Incarnation) (listed, leaving bool) { return true, false }
-			k.opt.Dial = func(context.Context, string) error { return syscall.ECONNREFUSED }
+			c := h.current()
+			c.opt.Endpoint = func(fleet.Incarnation) (listed, leaving bool) { return true, false }
+			c.opt.Dial = func(context.Context, string) error { return syscall.ECONNREFUSED }
 			for _, request := range []string{"popular", "bad"} {
-				k.ObserveBroken(context.Background(), BrokenAttempt{Request: fmt.Sprint(request, i), Fingerprint: printOf(request)(), Incarnation: life, Address: "e0", Sent: time.Now().Add(-50 * time.Millisecond), Software: onV1()})
+				c.ObserveBroken(context.Background(), BrokenAttempt{Request: fmt.Sprint(request, i), Fingerprint: fingerprintOf(request)(), Incarnation: inc, Address: "e0", Sent: time.Now().Add(-50 * time.Millisecond), Software: onV1()})
 			}
 		}
 		time.Sleep(2 * time.Second)
 		for _, h := range in.hosts {
-			if h.current().CheckHeld(printOf("popular"), onV1) != nil {
+			if h.current().CheckHeld(fingerprintOf("popular"), onV1) != nil {
 				t.Errorf("%s holds back the popular request", h.name)
 			}
-			if h.current().CheckHeld(printOf("bad"), onV1) == nil {
+			if h.current().CheckHeld(fingerprintOf("bad"), onV1) == nil {
 				t.Errorf("%s does not hold back the other request", h.name)
 			}
 		}
@@ -461,8 +461,8 @@
 		for range 2 {
 			time.Sleep(6 * time.Second)
 			for _, e := range in.engines {
-				_, over, _ := e.life()
-				e.end(over, downFor)
+				_, ended, _ := e.incarnation()
+				e.crash(ended, downFor)
 			}
 		}
 		wg.Wait()
@@ -481,7 +481,7 @@
 		defer in.stop()
 		time.Sleep(2 * time.Second)
 		for i := range 3 {
-			endUnder(in.hosts[i], "bad", fmt.Sprint("x", i))
+			crashUnder(in.hosts[i], "bad", fmt.Sprint("x", i))
 		}
 		time.Sleep(3 * time.Second)
 		for _, h := range in.hosts {
@@ -495,7 +495,7 @@
 				t.Fatalf("%s lost the record", h.name)
 			}
 		}
-		if n := len(in.ends["bad"]); n > attempts {
+		if n := len(in.crashes["bad"]); n > attempts {
 			t.Errorf("%d more crashes", n)
 		}
 		time.Sleep(50 * time.Second)
@@ -514,12 +514,12 @@
 		copied := in.store.CopyNow()
 		time.Sleep(2 * time.Second)
 		for i := range 3 {
-			endUnder(in.hosts[i], "bad", fmt.Sprint("x", i))
+			crashUnder(in.hosts[i], "bad", fmt.Sprint("x", i))
 		}
 		time.Sleep(3 * time.Second)
 		before := in.store.Calls()
 		in.store.Restore(copied)
-		in.heard.Observe(in.store.Generation(), "test")
+		in.generations.Observe(in.store.Generation(), "test")
 		time.Sleep(3 * time.Second)
 		if n := in.store.Calls() - before; n > 2 {
 			t.Errorf("%d calls to the store after the restore, want a read and a write", n)
@@ -528,9 +528,9 @@
 		if _, err := in.store.ReadRecord(t.Context(), recordName, &rec); err != nil {
 			t.Fatalf("the record was not written again: %v", err)
 		}
-		var told quarantinepb.ExchangeRequest
-		if err := proto.Unmarshal(rec.Cases, &told); err != nil || len(told.Cases) != 1 {
-			t.Errorf("%d records in the stored record, want 1 (%v)", len(told.Cases), err)
+		var stored quarantinepb.ExchangeRequest
+		if err := proto.Unmarshal(rec.Records, &stored); err != nil || len(stored.Cases) != 1 {
+			t.Errorf("%d records in the stored record, want 1 (%v)", len(stored.Cases), err)
 		}
 	})
 }
--- a/driver/quarantiner/record.go
+++ b/driver/quarantiner/record.go
@@ -22,70 +22,70 @@
 // heldBackRecord is the object in the store.
 type heldBackRecord struct {
 	SavedUnixMs int64  `json:"saved_unix_ms"` // by the writer's wall clock; ages are as of then
-	Cases       []byte `json:"cases"`         // quarantinepb.ExchangeRequest
+	Records     []byte `json:"cases"`         // quarantinepb.ExchangeRequest
 }
 
 // keepRecord reads or writes the record if that is due and this daemon is its writer.
-func (k *Controller) keepRecord(ctx context.Context, now time.Time) {
-	if k.known.Load() == 0 || !k.record.Due(now) || !k.record.IsWriter(k.opt.Self, k.opt.Members()) {
+func (c *Controller) keepRecord(ctx context.Context, now time.Time) {
+	if c.recordCount.Load() == 0 || !c.record.Due(now) || !c.record.IsWriter(c.opt.Self, c.opt.Members()) {
 		return
 	}
-	held, known := k.heldCases(), k.record.Known()
-	if known && quarantine.DigestOf(held) == k.recorded {
+	held, known := c.heldRecords(), c.record.Known()
+	if known && quarantine.DigestOf(held) == c.recorded {
 		return
 	}
 	var err error
 	if known {
-		err = k.writeRecord(ctx, now, held)
+		err = c.writeRecord(ctx, now, held)
 	} else {
-		err = k.readRecord(ctx, now)
+		err = c.readRecord(ctx, now)
 	}
 	if err != nil {
-		k.opt.Log.Info(decisions.EventQuarantineRecord, "read", known, "held", len(held), "error", err)
+		c.opt.Log.Info(decisions.EventQuarantineRecord, "read", known, "held", len(held), "error", err)
 	}
 }
 
-func (k *Controller) heldCases() []quarantine.Record {
+func (c *Controller) heldRecords() []quarantine.Record {
 	var list []quarantine.Record
-	for _, s := range *k.held.Load() {
+	for _, a := range *c.held.Load() {
 		if len(list) < quarantine.MaxPerMessage {
-			list = append(list, s.Record)
+			list = append(list, a.Record)
 		}
 	}
 	return list
 }
 
-func (k *Controller) readRecord(ctx context.Context, now time.Time) error {
+func (c *Controller) readRecord(ctx context.Context, now time.Time) error {
 	var rec heldBackRecord
-	if err := k.record.Read(ctx, now, &rec); err != nil {
+	if err := c.record.Read(ctx, now, &rec); err != nil {
 		return err
 	}
-	if k.record.Version().Absent() {
-		k.recorded = quarantine.DigestOf(nil)
+	if c.record.Version().Absent() {
+		c.recorded = quarantine.DigestOf(nil)
 		return nil
 	}
-	var told quarantinepb.ExchangeRequest
-	if err := proto.Unmarshal(rec.Cases, &told); err != nil {
-		k.opt.Log.Warn(decisions.EventQuarantineRecord, "error", err, "bytes", len(rec.Cases))
-		told.Reset() // the next write replaces it
+	var received quarantinepb.ExchangeRequest
+	if err := proto.Unmarshal(rec.Records, &received); err != nil {
+		c.opt.Log.Warn(decisions.EventQuarantineRecord, "error", err, "bytes", len(rec.Records))
+		received.Reset() // the next write replaces it
 	}
 	saved := time.Duration(max(0, time.Now().UnixMilli()-rec.SavedUnixMs)) * time.Millisecond
-	cases := fromWire(now.Add(-saved), told.Cases)
-	k.recorded = quarantine.DigestOf(cases)
-	k.opt.Log.Info(decisions.EventQuarantineRecord, "read", true, "held", len(cases), "saved_ms_ago", saved.Milliseconds())
-	k.learn(cases)
+	records := fromWire(now.Add(-saved), received.Cases)
+	c.recorded = quarantine.DigestOf(records)
+	c.opt.Log.Info(decisions.EventQuarantineRecord, "read", true, "held", len(records), "saved_ms_ago", saved.Milliseconds())
+	c.merge(records)
 	return nil
 }
 
-func (k *Controller) writeRecord(ctx context.Context, now time.Time, held []quarantine.Record) error {
+func (c *Controller) writeRecord(ctx context.Context, now time.Time, held []quarantine.Record) error {
 	raw, err := proto.Marshal(&quarantinepb.ExchangeRequest{Cases: toWire(now, held)})
 	if err != nil {
 		return err
 	}
-	written, err := k.record.Write(ctx, now, heldBackRecord{SavedUnixMs: time.Now().UnixMilli(), Cases: raw})
+	written, err := c.record.Write(ctx, now, heldBackRecord{SavedUnixMs: time.Now().UnixMilli(), Records: raw})
 	if written {
-		k.recorded = quarantine.DigestOf(held)
-		k.opt.Log.Info(decisions.EventQuarantineRecord, "written", true, "held", len(held), "version", k.record.Version())
+		c.recorded = quarantine.DigestOf(held)
+		c.opt.Log.Info(decisions.EventQuarantineRecord, "written", true, "held", len(held), "version", c.record.Version())
 	}
 	return err
 }
--- a/driver/quarantiner/served.go
+++ b/driver/quarantiner/served.go
@@ -29,13 +29,13 @@
 	return &t.slots[at], uint64(binary.LittleEndian.Uint32(print[4:8])) << 32
 }
 
-func (t *servedTable) note(print protocol.Fingerprint, now time.Time) {
+func (t *servedTable) add(print protocol.Fingerprint, now time.Time) {
 	slot, tag := t.slot(print)
 	slot.Store(tag | uint64(uint32(now.Unix())))
 }
 
 // recently reports whether the request was served shortly before it was sent.
-func (t *servedTable) lately(print protocol.Fingerprint, sent time.Time) bool {
+func (t *servedTable) recently(print protocol.Fingerprint, sent time.Time) bool {
 	slot, tag := t.slot(print)
 	v := slot.Load()
 	if v == 0 || v&^uint64(1<<32-1) != tag {
--- a/driver/quarantiner/tell.go
+++ b/driver/quarantiner/tell.go
@@ -15,31 +15,31 @@
 
 // runSend sends new records to the other daemons until ctx ends: the first at once and those that
 // follow shortly after together, since an endpoint crashes during requests of many daemons.
-func (k *Controller) runTell(ctx context.Context) {
+func (c *Controller) runSend(ctx context.Context) {
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
 			return
-		case <-k.news:
+		case <-c.pending:
 		}
-		k.mu.Lock()
-		cases, more := k.m.TakePending()
-		k.mu.Unlock()
+		c.mu.Lock()
+		records, more := c.m.TakePending()
+		c.mu.Unlock()
 		if more {
-			wake.Once(k.news)
+			wake.Once(c.pending)
 		}
-		if len(cases) > 0 {
-			k.tell(&quarantinepb.ExchangeRequest{Cases: toWire(k.opt.Clock(), cases)})
+		if len(records) > 0 {
+			c.send(&quarantinepb.ExchangeRequest{Cases: toWire(c.opt.Clock(), records)})
 		}
-		pause.For(ctx, tellEvery)
+		pause.For(ctx, sendEvery)
 	}
 }
 
 // others returns the other daemons in a random order.
-func (k *Controller) others() []membership.Member {
+func (c *Controller) others() []membership.Member {
 	var list []membership.Member
-	for _, m := range k.opt.Members() {
-		if m.ID != k.opt.Self {
+	for _, m := range c.opt.Members() {
+		if m.ID != c.opt.Self {
 			list = append(list, m)
 		}
 	}
@@ -48,55 +48,55 @@
 }
 
 // send sends records to some other daemons concurrently.
-func (k *Controller) tell(req *quarantinepb.ExchangeRequest) {
-	list := k.others()
+func (c *Controller) send(req *quarantinepb.ExchangeRequest) {
+	list := c.others()
 	for _, m := range list[:min(fanout, len(list))] {
-		go func() { _, _ = k.exchange(context.Background(), m, req) }() // the next comparison replaces lost messages
+		go func() { _, _ = c.exchange(context.Background(), m, req) }() // the next comparison replaces lost messages
 	}
 }
 
 // exchange makes one call and merges the records of the answer.
-func (k *Controller) exchange(ctx context.Context, m membership.Member, req *quarantinepb.ExchangeRequest) (*quarantinepb.ExchangeResponse, error) {
+func (c *Controller) exchange(ctx context.Context, m membership.Member, req *quarantinepb.ExchangeRequest) (*quarantinepb.ExchangeResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	k.metrics.told.Inc(1)
-	resp, err := k.opt.Peer(m.PeerAddress).Exchange(ctx, req)
+	c.metrics.messages.Inc(1)
+	resp, err := c.opt.Peer(m.PeerAddress).Exchange(ctx, req)
 	if err != nil {
 		return nil, err
 	}
-	k.learn(fromWire(k.opt.Clock(), resp.Cases))
+	c.merge(fromWire(c.opt.Clock(), resp.Cases))
 	return resp, nil
 }
 
 // merge merges records received from another daemon.
-func (k *Controller) learn(cases []quarantine.Record) {
-	if len(cases) == 0 {
+func (c *Controller) merge(records []quarantine.Record) {
+	if len(records) == 0 {
 		return
 	}
-	k.step(func(now time.Time) {
-		k.m.Merge(now, cases)
-		for i := range cases {
-			print := cases[i].Fingerprint
-			k.m.MarkServedBefore(now, print, func(sent time.Time) bool { return k.served.lately(print, sent) })
+	c.step(func(now time.Time) {
+		c.m.Merge(now, records)
+		for i := range records {
+			print := records[i].Fingerprint
+			c.m.MarkServedBefore(now, print, func(sent time.Time) bool { return c.served.recently(print, sent) })
 		}
 	})
-	now := k.opt.Clock()
-	for i := range cases {
-		for _, e := range cases[i].Crashes {
-			if now.Sub(e.At) < justEnded {
-				k.opt.OnCrash(e.Incarnation)
+	now := c.opt.Clock()
+	for i := range records {
+		for _, crash := range records[i].Crashes {
+			if now.Sub(crash.At) < recentCrash {
+				c.opt.OnCrash(crash.Incarnation)
 			}
 		}
 	}
 }
 
 // sync asks other daemons for their records until one has answered that is synced itself.
-func (k *Controller) sync(ctx context.Context) {
-	defer close(k.synced)
-	for ctx.Err() == nil && k.opt.Clock().Sub(k.started) < syncWithin {
-		list := k.others()
+func (c *Controller) sync(ctx context.Context) {
+	defer close(c.synced)
+	for ctx.Err() == nil && c.opt.Clock().Sub(c.started) < syncWithin {
+		list := c.others()
 		for _, m := range list[:min(fanout, len(list))] {
-			resp, err := k.exchange(ctx, m, &quarantinepb.ExchangeRequest{Ask: true})
+			resp, err := c.exchange(ctx, m, &quarantinepb.ExchangeRequest{Ask: true})
 			if err == nil && resp.Settled {
 				return
 			}
@@ -105,9 +105,9 @@
 	}
 }
 
-func (k *Controller) settled() bool {
+func (c *Controller) settled() bool {
 	select {
-	case <-k.synced:
+	case <-c.synced:
 		return true
 	default:
 		return false
@@ -115,64 +115,64 @@
 }
 
 // comparePause returns the time between two comparisons; ok is false while there are no records.
-func (k *Controller) comparePause(now time.Time) (time.Duration, bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (c *Controller) comparePause(now time.Time) (time.Duration, bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	switch {
-	case k.m.Len() == 0:
+	case c.m.Len() == 0:
 		return 0, false
-	case now.Sub(k.newsAt) < spreadFor:
+	case now.Sub(c.changedAt) < spreadFor:
 		return compareSoon, true
 	}
 	return compareLater, true
 }
 
 // compare synchronizes the records with those of another daemon.
-func (k *Controller) compare(ctx context.Context) {
-	list := k.others()
+func (c *Controller) compare(ctx context.Context) {
+	list := c.others()
 	if len(list) == 0 {
 		return
 	}
-	k.mu.Lock()
-	digest := k.m.Digest()
-	k.mu.Unlock()
-	resp, err := k.exchange(ctx, list[0], &quarantinepb.ExchangeRequest{Ask: true, Digest: digest})
+	c.mu.Lock()
+	digest := c.m.Digest()
+	c.mu.Unlock()
+	resp, err := c.exchange(ctx, list[0], &quarantinepb.ExchangeRequest{Ask: true, Digest: digest})
 	if err != nil || resp.Digest == digest {
 		return // the next comparison is with another daemon
 	}
-	k.mu.Lock()
-	req := &quarantinepb.ExchangeRequest{Digest: k.m.Digest()}
+	c.mu.Lock()
+	req := &quarantinepb.ExchangeRequest{Digest: c.m.Digest()}
 	if req.Digest != resp.Digest {
-		req.Cases = toWire(k.opt.Clock(), k.m.Top())
+		req.Cases = toWire(c.opt.Clock(), c.m.Top())
 	}
-	k.mu.Unlock()
+	c.mu.Unlock()
 	if len(req.Cases) > 0 {
-		_, _ = k.exchange(ctx, list[0], req) // the next comparison replaces a lost message
+		_, _ = c.exchange(ctx, list[0], req) // the next comparison replaces a lost message
 	}
 }
 
 // Exchange implements quarantinepb.Quarantine.
-func (k *Controller) Exchange(_ context.Context, req *quarantinepb.ExchangeRequest) (*quarantinepb.ExchangeResponse, error) {
-	k.learn(fromWire(k.opt.Clock(), req.Cases))
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	resp := &quarantinepb.ExchangeResponse{Digest: k.m.Digest(), Settled: k.settled()}
+func (c *Controller) Exchange(_ context.Context, req *quarantinepb.ExchangeRequest) (*quarantinepb.ExchangeResponse, error) {
+	c.merge(fromWire(c.opt.Clock(), req.Cases))
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	resp := &quarantinepb.ExchangeResponse{Digest: c.m.Digest(), Settled: c.settled()}
 	if req.Ask && req.Digest != resp.Digest {
-		resp.Cases = toWire(k.opt.Clock(), k.m.Top())
+		resp.Cases = toWire(c.opt.Clock(), c.m.Top())
 	}
 	return resp, nil
 }
 
 // errNoRecord refuses a probe call without a valid record.
-var errNoCase = errors.New("no whole case to decide on")
+var errNoRecord = errors.New("no whole case to decide on")
 
 // Trial implements quarantinepb.Quarantine.
-func (k *Controller) Trial(_ context.Context, req *quarantinepb.TrialRequest) (*quarantinepb.TrialResponse, error) {
-	cases := fromWire(k.opt.Clock(), []*quarantinepb.Case{req.Case})
-	if len(cases) == 0 {
-		return nil, errNoCase
+func (c *Controller) Trial(_ context.Context, req *quarantinepb.TrialRequest) (*quarantinepb.TrialResponse, error) {
+	records := fromWire(c.opt.Clock(), []*quarantinepb.Case{req.Case})
+	if len(records) == 0 {
+		return nil, errNoRecord
 	}
-	k.learn(cases)
-	granted, known := k.grant(cases[0].Fingerprint, quarantine.Software(req.Software))
-	return &quarantinepb.TrialResponse{Granted: granted, Case: caseToWire(k.opt.Clock(), &known)}, nil
+	c.merge(records)
+	granted, known := c.grant(records[0].Fingerprint, quarantine.Software(req.Software))
+	return &quarantinepb.TrialResponse{Granted: granted, Case: recordToWire(c.opt.Clock(), &known)}, nil
 }
--- a/driver/quarantiner/wire.go
+++ b/driver/quarantiner/wire.go
@@ -11,35 +11,35 @@
 
 // Times are sent between daemons as ages, since their clocks differ.
 
-func toWire(now time.Time, cases []quarantine.Record) []*quarantinepb.Case {
-	out := make([]*quarantinepb.Case, len(cases))
-	for i := range cases {
-		out[i] = caseToWire(now, &cases[i])
+func toWire(now time.Time, records []quarantine.Record) []*quarantinepb.Case {
+	out := make([]*quarantinepb.Case, len(records))
+	for i := range records {
+		out[i] = recordToWire(now, &records[i])
 	}
 	return out
 }
 
-func caseToWire(now time.Time, c *quarantine.Record) *quarantinepb.Case {
-	out := &quarantinepb.Case{Fingerprint: c.Fingerprint[:], Trials: int32(c.Probes), Returned: int32(c.Returned), Reopened: int32(c.LastReturned)}
-	if c.Probes > 0 {
-		out.TriedAgeMs = age(now, c.ProbedAt)
+func recordToWire(now time.Time, r *quarantine.Record) *quarantinepb.Case {
+	out := &quarantinepb.Case{Fingerprint: r.Fingerprint[:], Trials: int32(r.Probes), Returned: int32(r.Returned), Reopened: int32(r.LastReturned)}
+	if r.Probes > 0 {
+		out.TriedAgeMs = age(now, r.ProbedAt)
 	}
-	for _, s := range c.Software {
+	for _, s := range r.Software {
 		out.Software = append(out.Software, uint64(s))
 	}
-	for _, e := range c.Crashes {
+	for _, crash := range r.Crashes {
 		out.Ends = append(out.Ends, &quarantinepb.End{
-			Endpoint: e.Incarnation.ID, Born: e.Incarnation.StartUnixMs, Doubtful: e.Doubtful, Forgiven: e.Cleared, AgeMs: age(now, e.At), SentAgeMs: age(now, e.Sent), OrderUnixMs: e.Order, Attempts: e.Attempts, Served: e.ServedBefore,
+			Endpoint: crash.Incarnation.ID, Born: crash.Incarnation.StartUnixMs, Doubtful: crash.Doubtful, Forgiven: crash.Cleared, AgeMs: age(now, crash.At), SentAgeMs: age(now, crash.Sent), OrderUnixMs: crash.Order, Attempts: crash.Attempts, Served: crash.ServedBefore,
 		})
 	}
 	return out
 }
 
-func fromWire(now time.Time, cases []*quarantinepb.Case) []quarantine.Record {
+func fromWire(now time.Time, records []*quarantinepb.Case) []quarantine.Record {
 	var out []quarantine.Record
-	for _, in := range cases {
-		if c, ok := caseFromWire(now, in); ok {
-			out = append(out, c)
+	for _, in := range records {
+		if r, ok := recordFromWire(now, in); ok {
+			out = append(out, r)
 		}
 	}
 	return out
@@ -47,24 +47,24 @@
 
 // recordFromWire decodes a record. It reports false for one without a complete fingerprint or
 // without crashes, which carries no information.
-func caseFromWire(now time.Time, in *quarantinepb.Case) (quarantine.Record, bool) {
-	c := quarantine.Record{Probes: int(in.GetTrials()), Returned: int(in.GetReturned()), LastReturned: int(in.GetReopened())}
-	if len(in.GetFingerprint()) != len(c.Fingerprint) || len(in.GetEnds()) == 0 {
-		return c, false
+func recordFromWire(now time.Time, in *quarantinepb.Case) (quarantine.Record, bool) {
+	r := quarantine.Record{Probes: int(in.GetTrials()), Returned: int(in.GetReturned()), LastReturned: int(in.GetReopened())}
+	if len(in.GetFingerprint()) != len(r.Fingerprint) || len(in.GetEnds()) == 0 {
+		return r, false
 	}
-	c.Fingerprint = protocol.Fingerprint(in.Fingerprint)
-	if c.Probes > 0 {
-		c.ProbedAt = at(now, in.TriedAgeMs)
+	r.Fingerprint = protocol.Fingerprint(in.Fingerprint)
+	if r.Probes > 0 {
+		r.ProbedAt = at(now, in.TriedAgeMs)
 	}
 	for _, s := range in.Software {
-		c.Software = append(c.Software, quarantine.Software(s))
+		r.Software = append(r.Software, quarantine.Software(s))
 	}
-	for _, e := range in.Ends {
-		c.Crashes = append(c.Crashes, quarantine.Crash{
-			Incarnation: fleet.Incarnation{ID: e.Endpoint, StartUnixMs: e.Born}, Doubtful: e.Doubtful, Cleared: e.Forgiven, At: at(now, e.AgeMs), Sent: at(now, e.SentAgeMs), Order: e.OrderUnixMs, Attempts: e.Attempts, ServedBefore: e.Served,
+	for _, crash := range in.Ends {
+		r.Crashes = append(r.Crashes, quarantine.Crash{
+			Incarnation: fleet.Incarnation{ID: crash.Endpoint, StartUnixMs: crash.Born}, Doubtful: crash.Doubtful, Cleared: crash.Forgiven, At: at(now, crash.AgeMs), Sent: at(now, crash.SentAgeMs), Order: crash.OrderUnixMs, Attempts: crash.Attempts, ServedBefore: crash.Served,
 		})
 	}
-	return c, true
+	return r, true
 }
 
 func age(now, then time.Time) int64 { return max(0, now.Sub(then).Milliseconds()) }
