--- a/coordination/limit/book.go
+++ b/coordination/limit/book.go
@@ -1,10 +1,10 @@
-// Package limit decides what a daemon believes of the limits that endpoints name in their
-// answers: the requests a second that an endpoint takes from all daemons together. The newest
-// word counts, whoever heard it; it holds for one life of the endpoint, and ends when an answer
-// bears none any more. The package is a state machine without I/O: words and the time go in,
-// changes of belief and what others must be told come out.
+// Package limit tracks the rate limits that endpoints report in their answers: the requests a
+// second that an endpoint accepts from all daemons together. The latest report counts, whichever
+// daemon received it. It holds for one incarnation of the endpoint, and ends when an answer carries
+// no limit any more. Tracker is a state machine without I/O: callers pass reports and the time, and
+// apply the changes and publish the reports that it returns.
 //
-// Invariant: versions of an endpoint's words only rise, at each daemon.
+// Invariant: at each daemon, the versions of an endpoint's reports only rise.
 package limit
 
 import (
@@ -13,176 +13,182 @@
 	"github.com/doorvalve/doorvalve/state/fleet"
 )
 
-// Word is what an endpoint has said last.
+// Report is the latest report of an endpoint.
 type Report struct {
-	Rate     float64 // requests a second from all daemons; without meaning unless Limited
-	Limited  bool    // else the endpoint names no limit any more
+	Rate     float64 // requests a second from all daemons; meaningful only if Limited
+	Limited  bool    // false: the endpoint reports no limit any more
 	Version  uint64
-	Reporter string // daemon that heard it
+	Reporter string // daemon that received the report from the endpoint
 }
 
-// Change is a belief that has changed.
+// Change is a change of an endpoint's report.
 type Change struct {
 	Incarnation fleet.Incarnation
 	Before, Now Report
-	// Tell says that the other daemons should be told: it is the begin or the end of a
-	// limit, or the first change in a while.
+	// Publish is set if the change should be sent to the other daemons: a limit begins or ends, or
+	// this is the first change for a while.
 	Publish bool
 }
 
 const (
-	// tellChange is the least time between two changes of a limit that any daemon tells the
-	// others: its owner is told with each draw. That one begins or ends is told at once, unless
-	// that came within tellTurn: an endpoint that says now this, now that costs no more.
-	tellChange = time.Second
-	tellTurn   = 100 * time.Millisecond
-	// Remember is how long the end of a limit is remembered: late words of it are no news.
+	// publishEvery is the least time between two changes of a limit that a daemon publishes; the
+	// owner of the limit receives changes with each draw. The begin or end of a limit is published
+	// at once, unless the previous publication was less than publishToggleEvery ago, so that an
+	// endpoint which alternates between both costs no more.
+	publishEvery       = time.Second
+	publishToggleEvery = 100 * time.Millisecond
+	// Retention is how long the end of a limit is kept, so that late reports of the limit are
+	// ignored.
 	Retention = 10 * time.Minute
 )
 
-// belief is what is known of one life of an endpoint.
-type belief struct {
-	word Report
-	// learned is when the word was heard last. What an answer says to a request that was sent
-	// after it is newer; of others that cannot be told.
-	learned time.Time
-	told    Report
-	toldAt  time.Time
+// state is the state of one incarnation of an endpoint.
+type state struct {
+	report Report
+	// receivedAt is when the report last arrived. An answer to a request that was sent after it is
+	// newer; the order of other answers is unknown.
+	receivedAt  time.Time
+	published   Report
+	publishedAt time.Time
 }
 
-// Book is the beliefs of one daemon. It is not safe for concurrent use.
+// Tracker holds the reports that one daemon has received. It is not safe for concurrent use.
 type Tracker struct {
-	self    string
-	beliefs map[fleet.Incarnation]*belief
+	self   string
+	states map[fleet.Incarnation]*state
 }
 
-// New returns a book of a daemon that has heard nothing.
-func New(self string) *Tracker { return &Tracker{self: self, beliefs: map[fleet.Incarnation]*belief{}} }
+// New returns a tracker without reports.
+func New(self string) *Tracker { return &Tracker{self: self, states: map[fleet.Incarnation]*state{}} }
 
-// Heard takes what an answer says to a request that was sent at some time.
-func (b *Tracker) ObserveReport(now, sent time.Time, life fleet.Incarnation, rate float64, limited bool) (Change, bool) {
-	k := b.beliefs[life]
+// ObserveReport processes what an answer reports to a request sent at the given time. It returns
+// the change to apply or publish, and whether there is one.
+func (t *Tracker) ObserveReport(now, sent time.Time, inc fleet.Incarnation, rate float64, limited bool) (Change, bool) {
+	s := t.states[inc]
 	switch {
-	case k == nil && !limited:
+	case s == nil && !limited:
 		return Change{}, false
-	case k == nil:
-		k = &belief{}
-		b.beliefs[life] = k
-	case sent.Before(k.learned):
-		return Change{}, false // an earlier word may have overtaken a later one on its way
+	case s == nil:
+		s = &state{}
+		t.states[inc] = s
+	case sent.Before(s.receivedAt):
+		return Change{}, false // the answer may be older than the current report
 	}
-	k.learned = now
-	before := k.word
+	s.receivedAt = now
+	before := s.report
 	if before.Limited == limited && (!limited || before.Rate == rate) {
-		return b.overdue(now, life, k)
+		return t.overdue(now, inc, s)
 	}
-	k.word = Report{Rate: rate, Limited: limited, Version: max(before.Version+1, uint64(now.UnixMilli())), Reporter: b.self}
-	least := tellChange
+	s.report = Report{Rate: rate, Limited: limited, Version: max(before.Version+1, uint64(now.UnixMilli())), Reporter: t.self}
+	minInterval := publishEvery
 	if before.Limited != limited {
-		least = tellTurn
+		minInterval = publishToggleEvery
 	}
-	tell := now.Sub(k.toldAt) >= least
-	if tell {
-		k.told, k.toldAt = k.word, now
+	publish := now.Sub(s.publishedAt) >= minInterval
+	if publish {
+		s.published, s.publishedAt = s.report, now
 	}
-	return Change{Incarnation: life, Before: before, Now: k.word, Publish: tell}, true
+	return Change{Incarnation: inc, Before: before, Now: s.report, Publish: publish}, true
 }
 
-// Untold returns the changes that were not told when they came and should be by now.
-func (b *Tracker) TakePending(now time.Time) []Change {
+// TakePending returns the changes that were not published when they occurred and are due now, and
+// marks them as published.
+func (t *Tracker) TakePending(now time.Time) []Change {
 	var list []Change
-	for life, k := range b.beliefs {
-		if k.untold(b.self, now) {
-			list = append(list, k.tell(now, life))
+	for inc, s := range t.states {
+		if s.pending(t.self, now) {
+			list = append(list, s.publish(now, inc))
 		}
 	}
 	return list
 }
 
-// overdue returns a change that was not told when it came, or a limit that was told so long ago
-// that daemons which start now would not hear of it.
-func (b *Tracker) overdue(now time.Time, life fleet.Incarnation, k *belief) (Change, bool) {
-	if k.word.Limited && k.word.age(now) > Retention/2 {
-		k.word.Version, k.word.Reporter = uint64(now.UnixMilli()), b.self
-		return k.tell(now, life), true
+// overdue returns a change that was not published when it occurred, or a limit that was published
+// so long ago that newly started daemons would not receive it.
+func (t *Tracker) overdue(now time.Time, inc fleet.Incarnation, s *state) (Change, bool) {
+	if s.report.Limited && s.report.age(now) > Retention/2 {
+		s.report.Version, s.report.Reporter = uint64(now.UnixMilli()), t.self
+		return s.publish(now, inc), true
 	}
-	if k.untold(b.self, now) {
-		return k.tell(now, life), true
+	if s.pending(t.self, now) {
+		return s.publish(now, inc), true
 	}
 	return Change{}, false
 }
 
-// untold reports whether a daemon should tell now what it has heard and not told.
-func (k *belief) untold(self string, now time.Time) bool {
-	return k.word.Reporter == self && k.told.Version != k.word.Version && now.Sub(k.toldAt) >= tellChange
+// pending reports whether the daemon should now publish a report that it has received and not
+// published.
+func (s *state) pending(self string, now time.Time) bool {
+	return s.report.Reporter == self && s.published.Version != s.report.Version && now.Sub(s.publishedAt) >= publishEvery
 }
 
-// tell returns the last word to be told.
-func (k *belief) tell(now time.Time, life fleet.Incarnation) Change {
-	k.told, k.toldAt = k.word, now
-	return Change{Incarnation: life, Before: k.word, Now: k.word, Publish: true}
+// publish marks the latest report as published, and returns it as a change.
+func (s *state) publish(now time.Time, inc fleet.Incarnation) Change {
+	s.published, s.publishedAt = s.report, now
+	return Change{Incarnation: inc, Before: s.report, Now: s.report, Publish: true}
 }
 
-// age returns about how long ago a word was new: its version is a time of day, unless words
-// came faster than that.
-func (w Report) age(now time.Time) time.Duration {
-	return time.Duration(now.UnixMilli()-int64(w.Version)) * time.Millisecond
+// age returns the approximate age of a report: its version is the Unix time in milliseconds unless
+// reports arrived faster than that.
+func (r Report) age(now time.Time) time.Duration {
+	return time.Duration(now.UnixMilli()-int64(r.Version)) * time.Millisecond
 }
 
-// Stale reports whether a word of some version is so old that daemons forget it.
+// Stale reports whether a report of the given version is older than Retention.
 func Stale(now time.Time, version uint64) bool { return Report{Version: version}.age(now) > Retention }
 
-// Told takes what another daemon has heard.
-func (b *Tracker) ReceiveReport(now time.Time, life fleet.Incarnation, w Report) (Change, bool) {
-	k := b.beliefs[life]
-	if k == nil {
-		k = &belief{}
-		b.beliefs[life] = k
+// ReceiveReport processes a report that another daemon has received. It returns the change to
+// apply, and whether there is one.
+func (t *Tracker) ReceiveReport(now time.Time, inc fleet.Incarnation, r Report) (Change, bool) {
+	s := t.states[inc]
+	if s == nil {
+		s = &state{}
+		t.states[inc] = s
 	}
-	if w.Version <= k.word.Version {
+	if r.Version <= s.report.Version {
 		return Change{}, false
 	}
-	before := k.word
-	k.word, k.learned = w, now
-	k.told, k.toldAt = w, now
-	return Change{Incarnation: life, Before: before, Now: w}, before.Limited != w.Limited || before.Rate != w.Rate
+	before := s.report
+	s.report, s.receivedAt = r, now
+	s.published, s.publishedAt = r, now
+	return Change{Incarnation: inc, Before: before, Now: r}, before.Limited != r.Limited || before.Rate != r.Rate
 }
 
-// Of returns the last word of an endpoint's life.
-func (b *Tracker) Latest(life fleet.Incarnation) (Report, bool) {
-	if k := b.beliefs[life]; k != nil {
-		return k.word, true
+// Latest returns the latest report of an incarnation.
+func (t *Tracker) Latest(inc fleet.Incarnation) (Report, bool) {
+	if s := t.states[inc]; s != nil {
+		return s.report, true
 	}
 	return Report{}, false
 }
 
-// Keep forgets lives that have ended, and limits that ended long ago; it returns the limits
-// that it has forgotten.
-func (b *Tracker) Prune(now time.Time, listed func(fleet.Incarnation) bool) []Change {
+// Prune removes limits of incarnations that are not listed, and limits that ended long ago. It
+// returns the active limits that it removed.
+func (t *Tracker) Prune(now time.Time, listed func(fleet.Incarnation) bool) []Change {
 	var dropped []Change
-	for life, k := range b.beliefs {
-		long := now.Sub(k.learned) > Retention
+	for inc, s := range t.states {
+		expired := now.Sub(s.receivedAt) > Retention
 		switch {
-		case k.word.Limited && !listed(life) && now.Sub(k.learned) > unlistedFor:
-			dropped = append(dropped, Change{Incarnation: life, Before: k.word})
-			delete(b.beliefs, life)
-		case !k.word.Limited && long:
-			delete(b.beliefs, life)
+		case s.report.Limited && !listed(inc) && now.Sub(s.receivedAt) > unlistedFor:
+			dropped = append(dropped, Change{Incarnation: inc, Before: s.report})
+			delete(t.states, inc)
+		case !s.report.Limited && expired:
+			delete(t.states, inc)
 		}
 	}
 	return dropped
 }
 
-// unlistedFor is how long the limit of an endpoint that is not listed is kept after its last
-// word: a list may be older than the word, or miss an entry for a while.
+// unlistedFor is how long the limit of an endpoint that is not listed is kept after its latest
+// report: the list may be older than the report, or lack an entry for a while.
 const unlistedFor = time.Minute
 
-// Limited returns the lives that name a limit now, with their last words.
-func (b *Tracker) Limited() map[fleet.Incarnation]Report {
+// Limited returns the incarnations that report a limit now, with their latest reports.
+func (t *Tracker) Limited() map[fleet.Incarnation]Report {
 	limited := map[fleet.Incarnation]Report{}
-	for life, k := range b.beliefs {
-		if k.word.Limited {
-			limited[life] = k.word
+	for inc, s := range t.states {
+		if s.report.Limited {
+			limited[inc] = s.report
 		}
 	}
 	return limited
--- a/driver/quarantiner/broken.go
+++ b/driver/quarantiner/broken.go
@@ -15,132 +15,132 @@
 )
 
 const (
-	// checkTimeout bounds connecting to an endpoint whose connection broke: one that
-	// has ended refuses at once, one that cannot be reached says nothing.
+	// checkTimeout bounds connecting to an endpoint whose connection broke: a crashed one refuses
+	// at once, an unreachable one does not answer.
 	checkTimeout = 200 * time.Millisecond
-	// checkAgain is the pause before an endpoint that still takes connections is asked
-	// again: its listener may close after its connections.
-	checkAgain = 250 * time.Millisecond
-	// checksMost bounds the questions to one life, so that broken connections cost an
-	// endpoint that lives a few new ones at most.
-	checksMost = 3
-	// brokenFor is how long a broken attempt waits for the sign that its endpoint has
-	// ended: longer than entries of endpoints that are gone stay in the list.
+	// checkEvery is the time until an endpoint that still accepts connections is checked again: its
+	// listener may close after its connections.
+	checkEvery = 250 * time.Millisecond
+	// maxChecks bounds the checks of one incarnation, so that broken connections cost an endpoint
+	// which is up only a few new connections.
+	maxChecks = 3
+	// brokenFor is how long a broken attempt waits for evidence that its endpoint has crashed. It
+	// is longer than removed endpoints stay in the list.
 	brokenFor = 6 * time.Second
-	// mostBroken bounds the lives that are watched; those that break beyond it are
-	// taken to live.
-	mostBroken = 256
+	// maxBroken bounds the incarnations that are watched. Further ones are taken to be up.
+	maxBroken = 256
 )
 
-// Attempt is one whose connection to the endpoint broke before its answer was complete.
+// BrokenAttempt is an attempt whose connection to the endpoint broke before its answer was
+// complete.
 type BrokenAttempt struct {
-	Request     string // id, of this attempt of the caller
+	Request     string // request id of the caller's attempt
 	Fingerprint protocol.Fingerprint
 	Incarnation fleet.Incarnation
 	Address     string
-	Sent        time.Time // by the keeper's clock
-	AnswerBegan bool      // events of the answer had come
+	Sent        time.Time // by the controller's clock
+	AnswerBegan bool      // events of the answer had arrived
 	Software    quarantine.Software
 }
 
-// broken is a life of an endpoint whose connections broke. Whether it has ended is not
-// known at first: connections are also cut on the way.
+// broken is an incarnation of an endpoint whose connections broke. Whether it has crashed is not
+// known at first: connections can also be cut on the way.
 type broken struct {
-	address  string
-	leaving  bool // it had said so, or was listed no more: its end is no surprise
-	since    time.Time
-	order    int64 // see quarantine.End
-	ended    bool
-	endedAt  time.Time // when that was found out
-	checks   int
-	checkAt  time.Time       // of the next question
-	checking chan struct{}   // closed when the question on its way is answered; nil if none is
-	attempts []BrokenAttempt // that wait to be counted
+	address   string
+	leaving   bool // it had reported leaving, or was no longer listed: its end is expected
+	since     time.Time
+	order     int64 // see quarantine.Crash
+	crashed   bool
+	crashedAt time.Time // when the crash was detected
+	checks    int
+	checkAt   time.Time       // of the next check
+	checking  chan struct{}   // closed when the running check ends; nil if none is running
+	attempts  []BrokenAttempt // not counted yet
 }
 
-// Broke takes a broken attempt, and returns when the endpoint has been asked whether it is
-// there: the next endpoint is chosen after that, a few milliseconds later.
-func (k *Controller) ObserveBroken(ctx context.Context, a BrokenAttempt) {
-	now := k.opt.Clock()
-	listed, leaving := k.opt.Endpoint(a.Incarnation)
-	leaving = leaving || !listed // taken out before its connections broke
-	k.mu.Lock()
-	b := k.broken[a.Incarnation]
+// ObserveBroken processes a broken attempt. It returns when the endpoint has been checked, a few
+// milliseconds later, so that the choice of the next endpoint takes the result into account.
+func (c *Controller) ObserveBroken(ctx context.Context, a BrokenAttempt) {
+	now := c.opt.Clock()
+	listed, leaving := c.opt.Endpoint(a.Incarnation)
+	leaving = leaving || !listed // removed from the list before its connections broke
+	c.mu.Lock()
+	b := c.broken[a.Incarnation]
 	if b != nil && b.followedBy(a) {
 		b = nil
 	}
 	if b == nil {
-		if len(k.broken) >= mostBroken {
-			k.mu.Unlock()
-			k.opt.Log.Warn(decisions.EventEndpointCrashed, "endpoint", a.Incarnation.ID, "error", "too many endpoints broke at once; this one is not looked at")
+		if len(c.broken) >= maxBroken {
+			c.mu.Unlock()
+			c.opt.Log.Warn(decisions.EventEndpointCrashed, "endpoint", a.Incarnation.ID, "error", "too many endpoints broke at once; this one is not looked at")
 			return
 		}
 		b = &broken{address: a.Address, leaving: leaving, since: now, order: time.Now().UnixMilli()}
-		k.broken[a.Incarnation] = b
+		c.broken[a.Incarnation] = b
 	}
 	leaving = b.leaving
 	b.attempts = append(b.attempts, a)
-	k.mu.Unlock()
-	wake.Once(k.wake)
+	c.mu.Unlock()
+	wake.Once(c.wake)
 	if leaving {
 		return
 	}
-	k.ask(ctx, a.Incarnation, b)
-	k.count(a.Incarnation, b)
+	c.checkOnce(ctx, a.Incarnation, b)
+	c.count(a.Incarnation, b)
 }
 
-// followedBy reports whether an attempt was sent to the next life of an endpoint whose lives
-// bear no start: after it was known that the one before had ended.
+// followedBy reports whether an attempt was sent to the next incarnation of an endpoint whose
+// incarnations have no start time: it was sent after the crash of the previous one was detected.
 func (b *broken) followedBy(a BrokenAttempt) bool {
-	return a.Incarnation.StartUnixMs == 0 && b.ended && a.Sent.After(b.endedAt)
+	return a.Incarnation.StartUnixMs == 0 && b.crashed && a.Sent.After(b.crashedAt)
 }
 
-// end notes that the life has ended; the caller holds the mutex.
-func (b *broken) end(now time.Time) {
-	if !b.ended {
-		b.ended, b.endedAt = true, now
+// markCrashed records that the incarnation has crashed; the caller holds the mutex.
+func (b *broken) markCrashed(now time.Time) {
+	if !b.crashed {
+		b.crashed, b.crashedAt = true, now
 	}
 }
 
-// Refused takes it that connecting to an endpoint failed: if nothing listens there, the
-// attempts that broke shortly before ended with it.
-func (k *Controller) ObserveDialError(life fleet.Incarnation, err error) {
+// ObserveDialError processes a failure to connect to an endpoint: if nothing listens there, the
+// endpoint crashed during the attempts that broke shortly before.
+func (c *Controller) ObserveDialError(inc fleet.Incarnation, err error) {
 	if !IsConnectionRefused(err) {
 		return
 	}
-	k.mu.Lock()
-	b := k.broken[life]
+	c.mu.Lock()
+	b := c.broken[inc]
 	if b != nil {
-		b.end(k.opt.Clock())
+		b.markCrashed(c.opt.Clock())
 	}
-	k.mu.Unlock()
+	c.mu.Unlock()
 	if b != nil {
-		k.count(life, b)
+		c.count(inc, b)
 	}
 }
 
-// ask asks an endpoint whether it is there, once for all attempts that broke together.
-func (k *Controller) ask(ctx context.Context, life fleet.Incarnation, b *broken) {
-	k.mu.Lock()
+// checkOnce checks whether an endpoint is up, once for all attempts that broke together.
+func (c *Controller) checkOnce(ctx context.Context, inc fleet.Incarnation, b *broken) {
+	c.mu.Lock()
 	waiting := b.checking
-	now := k.opt.Clock()
-	mine := !b.ended && waiting == nil && b.checks < checksMost && !now.Before(b.checkAt)
-	if mine {
+	now := c.opt.Clock()
+	own := !b.crashed && waiting == nil && b.checks < maxChecks && !now.Before(b.checkAt)
+	if own {
 		b.checking = make(chan struct{})
 		b.checks++
-		b.checkAt = now.Add(checkAgain)
+		b.checkAt = now.Add(checkEvery)
 	}
-	k.mu.Unlock()
+	c.mu.Unlock()
 	switch {
-	case mine:
-		err := k.opt.Dial(context.WithoutCancel(ctx), b.address)
-		k.mu.Lock()
+	case own:
+		err := c.opt.Dial(context.WithoutCancel(ctx), b.address)
+		c.mu.Lock()
 		if IsConnectionRefused(err) {
-			b.end(k.opt.Clock())
+			b.markCrashed(c.opt.Clock())
 		}
 		close(b.checking)
 		b.checking = nil
-		k.mu.Unlock()
+		c.mu.Unlock()
 	case waiting != nil:
 		select {
 		case <-waiting:
@@ -149,75 +149,75 @@
 	}
 }
 
-// count counts the attempts that ended with an endpoint, if it has ended.
-func (k *Controller) count(life fleet.Incarnation, b *broken) {
-	k.mu.Lock()
+// count counts the attempts during which an endpoint crashed, if it has crashed.
+func (c *Controller) count(inc fleet.Incarnation, b *broken) {
+	c.mu.Lock()
 	attempts := b.attempts
-	if !b.ended || b.leaving || len(attempts) == 0 {
-		k.mu.Unlock()
+	if !b.crashed || b.leaving || len(attempts) == 0 {
+		c.mu.Unlock()
 		return
 	}
 	b.attempts = nil
-	k.mu.Unlock()
-	k.opt.OnCrash(life)
-	k.metrics.ended.Inc(int64(len(attempts)))
-	k.opt.Log.Info(decisions.EventEndpointCrashed, "endpoint", life.ID, "born", life.StartUnixMs, "attempts", len(attempts), "after_ms", k.opt.Clock().Sub(b.since).Milliseconds())
-	k.step(func(now time.Time) {
+	c.mu.Unlock()
+	c.opt.OnCrash(inc)
+	c.metrics.crashed.Inc(int64(len(attempts)))
+	c.opt.Log.Info(decisions.EventEndpointCrashed, "endpoint", inc.ID, "born", inc.StartUnixMs, "attempts", len(attempts), "after_ms", c.opt.Clock().Sub(b.since).Milliseconds())
+	c.step(func(now time.Time) {
 		for _, a := range attempts {
-			end := quarantine.Crash{Incarnation: life, Doubtful: a.AnswerBegan, ServedBefore: k.served.lately(a.Fingerprint, a.Sent), Sent: a.Sent, At: b.since, Order: b.order}
-			if !end.Doubtful {
-				end.Attempts = []uint32{quarantine.AttemptTag(a.Request)}
+			crash := quarantine.Crash{Incarnation: inc, Doubtful: a.AnswerBegan, ServedBefore: c.served.recently(a.Fingerprint, a.Sent), Sent: a.Sent, At: b.since, Order: b.order}
+			if !crash.Doubtful {
+				crash.Attempts = []uint32{quarantine.AttemptTag(a.Request)}
 			}
-			k.m.ObserveCrash(now, quarantine.CrashedAttempt{Fingerprint: a.Fingerprint, Crash: end, Software: a.Software})
+			c.m.ObserveCrash(now, quarantine.CrashedAttempt{Fingerprint: a.Fingerprint, Crash: crash, Software: a.Software})
 		}
 	})
 }
 
-// watching reports whether there are endpoints whose end is not known.
-func (k *Controller) watching() bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return len(k.broken) > 0
+// watching reports whether there are incarnations of which it is not known whether they crashed.
+func (c *Controller) watching() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return len(c.broken) > 0
 }
 
-// check looks again at endpoints whose connections broke: asks them, and takes it as their
-// end if they are not listed any more though they had not said that they leave.
-func (k *Controller) check(ctx context.Context) {
-	now := k.opt.Clock()
-	k.mu.Lock()
-	list := make(map[fleet.Incarnation]*broken, len(k.broken))
-	for life, b := range k.broken {
+// check repeats the checks of endpoints whose connections broke. An endpoint that is no longer
+// listed although it had not reported leaving is taken to have crashed.
+func (c *Controller) check(ctx context.Context) {
+	now := c.opt.Clock()
+	c.mu.Lock()
+	list := make(map[fleet.Incarnation]*broken, len(c.broken))
+	for inc, b := range c.broken {
 		if now.Sub(b.since) > brokenFor {
-			delete(k.broken, life)
+			delete(c.broken, inc)
 			continue
 		}
-		list[life] = b
+		list[inc] = b
 	}
-	k.mu.Unlock()
-	for life, b := range list {
-		listed, leaving := k.opt.Endpoint(life)
-		k.mu.Lock()
+	c.mu.Unlock()
+	for inc, b := range list {
+		listed, leaving := c.opt.Endpoint(inc)
+		c.mu.Lock()
 		b.leaving = b.leaving || leaving
 		if !listed && !b.leaving {
-			b.end(now)
+			b.markCrashed(now)
 		}
-		ask := !b.leaving && !b.ended && b.checks < checksMost && b.checking == nil && !now.Before(b.checkAt)
-		k.mu.Unlock()
-		if ask {
+		checkNow := !b.leaving && !b.crashed && b.checks < maxChecks && b.checking == nil && !now.Before(b.checkAt)
+		c.mu.Unlock()
+		if checkNow {
 			go func() {
-				k.ask(ctx, life, b)
-				k.count(life, b)
+				c.checkOnce(ctx, inc, b)
+				c.count(inc, b)
 			}()
 			continue
 		}
-		k.count(life, b)
+		c.count(inc, b)
 	}
 }
 
-// RefusedConnection reports whether an error says that nothing listens at the address.
+// IsConnectionRefused reports whether an error means that nothing listens at the address.
 func IsConnectionRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
-// dial is how an endpoint is asked whether it is there.
+// dial checks over TCP whether an endpoint is up.
 func dial(ctx context.Context, address string) error {
 	conn, err := (&net.Dialer{Timeout: checkTimeout, KeepAlive: -1}).DialContext(ctx, "tcp", address)
 	if err != nil {
