--- a/protocol/backpressure.go
+++ b/protocol/backpressure.go
@@ -7,33 +7,35 @@
 	"time"
 )
 
-// Backpressure is what an endpoint says of itself in an answer, beside the answer.
+// Backpressure is what an endpoint reports about itself in the headers of an answer.
 type Backpressure struct {
-	// Leaving says that the endpoint is about to stop and wants no further requests in this life.
+	// Leaving reports that the endpoint is about to stop and takes no further requests in
+	// this incarnation.
 	Leaving bool
-	// Pause asks the daemon that got the answer to send nothing for a while.
+	// Pause asks the daemon that received the answer to send no requests for a while.
 	Pause Pause
-	// Limit is the rate that the endpoint takes from all daemons together.
+	// Limit is the rate that the endpoint accepts from all daemons together.
 	Limit RateLimit
 }
 
-// Pause is the Retry-After of an endpoint that has turned a request away.
+// Pause is the Retry-After of an endpoint that has rejected a request.
 type Pause struct {
-	For time.Duration // zero: the answer asks for none
-	// Unreadable is the beginning of a value that is neither a time nor a date; it counts as none.
+	For time.Duration // zero: the answer requests no pause
+	// Unreadable is the quoted beginning of a value that is neither a number of seconds nor
+	// an HTTP date; such a value requests no pause.
 	Unreadable string
 }
 
 const (
-	// longestPause bounds a pause: an endpoint that names more is not expected back.
+	// maxPause bounds a pause: an endpoint that asks for more is not expected to return.
 	longestPause = 24 * time.Hour
-	// pauseBytes bounds the text of a pause; a date of HTTP has 29.
+	// maxPauseBytes bounds the text of a pause; an HTTP date has 29 bytes.
 	pauseBytes = 64
 )
 
-// ReadPause reads the values of a Retry-After header: seconds, with or without a fraction, or a
-// date of HTTP, which is compared with the Date of the same answer and, where it has none, with
-// now. Of several the longest counts.
+// ReadPause reads the values of a Retry-After header: seconds, with or without a fraction, or an
+// HTTP date, which is compared with the Date of the same answer or, if it has none, with now. If
+// there are several values, the longest pause counts.
 func ReadPause(values []string, date string, now time.Time) Pause {
 	var p Pause
 	for _, value := range values {
@@ -57,7 +59,7 @@
 		return min(max(0, at.Sub(now)), longestPause), true
 	}
 	if strings.Trim(text, "0123456789.") != "" {
-		return 0, false // also of exponents, signs, "NaN", "Inf"
+		return 0, false // exponents, signs, "NaN" and "Inf" are rejected as well
 	}
 	seconds, err := strconv.ParseFloat(text, 64)
 	if err != nil {
@@ -66,8 +68,8 @@
 	return time.Duration(min(seconds, longestPause.Seconds()) * float64(time.Second)), true
 }
 
-// ReadLeaving reads the values of a header that says that an endpoint leaves: any value but an
-// explicit no.
+// ReadLeaving reads the values of a header with which an endpoint announces that it is leaving:
+// any value counts as true, except an empty one, "0" and "false".
 func ReadLeaving(values []string) bool {
 	for _, value := range values {
 		switch strings.ToLower(strings.TrimSpace(value)) {
--- a/protocol/backpressure_test.go
+++ b/protocol/backpressure_test.go
@@ -8,7 +8,7 @@
 
 func TestReadPause(t *testing.T) {
 	now := time.Date(2026, 12, 3, 9, 0, 0, 0, time.UTC)
-	const date = "Thu, 03 Dec 2026 08:00:00 GMT" // of the answer; the endpoint's clock is an hour behind
+	const date = "Thu, 03 Dec 2026 08:00:00 GMT" // Date of the answer; the endpoint's clock is an hour behind
 	for _, c := range []struct {
 		values     []string
 		date       string
@@ -65,6 +65,6 @@
 		}
 	}
 	if ReadLeaving(nil) || !ReadLeaving([]string{"0", "1"}) {
-		t.Error("none, or several")
+		t.Error("wrong result for no values or for several values")
 	}
 }
--- a/protocol/credential.go
+++ b/protocol/credential.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// KeyHash stands for a caller's key, which is nowhere kept in clear: the first half of its
-// SHA-256. Keys are long and random, so that a hash tells nothing of them.
+// KeyHash identifies a caller's key, which is never kept in clear text: it is the first half of
+// the key's SHA-256. Keys are long and random, so a hash reveals nothing about them.
 type KeyHash [16]byte
 
 // HashKey returns the hash of a key.
@@ -16,10 +16,10 @@
 	return KeyHash(sum[:len(KeyHash{})])
 }
 
-// String returns the form used in desired states that daemons pass on to each other.
+// String returns the hexadecimal form used in desired states that daemons send to each other.
 func (k KeyHash) String() string { return hex.EncodeToString(k[:]) }
 
-// ParseKeyHash is the reverse of KeyHash.String.
+// ParseKeyHash parses the form that KeyHash.String returns.
 func ParseKeyHash(text string) (KeyHash, error) {
 	raw, err := hex.DecodeString(text)
 	if err != nil || len(raw) != len(KeyHash{}) {
@@ -28,25 +28,25 @@
 	return KeyHash(raw), nil
 }
 
-// Shown says what a request shows of who sends it.
+// CredentialKind is the kind of credential that a request carries.
 type CredentialKind int
 
-// What a request may show.
+// The kinds of credential.
 const (
 	CredentialNone CredentialKind = iota
 	CredentialKey
-	// ShownUnreadable is a header that names no key: another scheme, an empty key, or
-	// several headers, of which nobody could say which one is meant.
+	// CredentialMalformed is a header without a usable key: another scheme, an empty key, or
+	// several headers, of which it is not clear which one applies.
 	CredentialMalformed
 )
 
-// Credential is what a request shows of who sends it.
+// Credential is what a request carries to authenticate its caller.
 type Credential struct {
 	Kind CredentialKind
-	Key  KeyHash // of ShownKey
+	Key  KeyHash // set for CredentialKey only
 }
 
-// bearer is the one scheme of authentication; schemes are compared regardless of case.
+// bearer is the only supported authentication scheme; schemes are compared regardless of case.
 const bearer = "bearer"
 
 // ReadCredential reads the Authorization headers of a request.
--- a/protocol/credential_test.go
+++ b/protocol/credential_test.go
@@ -30,7 +30,8 @@
 	}
 }
 
-// Whatever a caller sends, a key is known by its hash alone, and nobody passes for another.
+// Any header yields either no key or exactly the hash of the key that it carries, so that no caller
+// is taken for another one.
 func FuzzReadCredential(f *testing.F) {
 	f.Add("Bearer k")
 	f.Add("bearer \x00")
--- a/protocol/engine.go
+++ b/protocol/engine.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// OrderKind is what an order asks of an engine.
+// OrderKind is the action that an order requests from an engine.
 type OrderKind string
 
 // The kinds of order.
@@ -11,12 +11,12 @@
 	OrderClaim OrderKind = "claim"
 	// OrderLoad loads a model or an adapter.
 	OrderLoad OrderKind = "load"
-	// OrderUnload unloads a model or an adapter once its requests ended.
+	// OrderUnload unloads a model or an adapter once its requests have ended.
 	OrderUnload OrderKind = "unload"
 )
 
-// Order is an instruction to a model engine. Repeating one is harmless:
-// Seq names the replica slot it is for.
+// Order is an instruction to a model engine. Orders are idempotent: Seq
+// identifies the replica slot that an order is for.
 type Order struct {
 	Kind       OrderKind `json:"kind"`
 	Unit       string    `json:"unit,omitempty"` // model or adapter name
@@ -25,11 +25,11 @@
 	MemoryMiB  int64     `json:"memory_mib,omitempty"`
 	Seq        uint64    `json:"seq,omitempty"`
 	Fence      uint64    `json:"fence"`
-	ExpiresAt  time.Time `json:"expires_at"` // the engine refuses it afterwards
+	ExpiresAt  time.Time `json:"expires_at"` // the engine rejects the order afterwards
 	EndpointID string    `json:"endpoint"`
 }
 
-// Tier says where an endpoint keeps a checkpoint.
+// Tier is the kind of storage in which an endpoint keeps a checkpoint.
 type Tier string
 
 // The tiers, nearest first.
@@ -57,18 +57,18 @@
 	Status    UnitStatus `json:"status"`
 	MemoryMiB int64      `json:"memory_mib"`
 	Seq       uint64     `json:"seq"`
-	Running   int        `json:"running"` // lags behind reality
+	Running   int        `json:"running"` // may lag behind the actual number
 }
 
-// EngineState is what an engine reports of itself.
+// EngineState is the state that an engine reports about itself.
 type EngineState struct {
 	Endpoint      string          `json:"endpoint"`
-	Version       uint64          `json:"version"` // rises with each change
-	Fence         uint64          `json:"fence"`   // highest seen
+	Version       uint64          `json:"version"` // increases with each change
+	Fence         uint64          `json:"fence"`   // highest received
 	MemoryMiB     int64           `json:"memory_mib"`
 	Slots         int             `json:"slots"`
 	Leaving       bool            `json:"leaving"`
 	Units         []EngineUnit    `json:"units"`
 	Cached        map[string]Tier `json:"cached,omitempty"`
-	Overcommitted int             `json:"overcommitted"` // times memory was exceeded
+	Overcommitted int             `json:"overcommitted"` // number of times that memory was exceeded
 }
--- a/protocol/fingerprint.go
+++ b/protocol/fingerprint.go
@@ -6,15 +6,16 @@
 	"encoding/hex"
 )
 
-// Fingerprint identifies a request by what stays the same when it comes again, under
-// another request id and to another daemon: method, path, caller and body. It is the
-// first half of a SHA-256, so that nobody can make a request that passes for another one's.
+// Fingerprint identifies a request by the properties that stay the same when it is
+// repeated with another request id or at another daemon: method, path, caller and body.
+// It is the first half of a SHA-256, so that nobody can construct a request that has the
+// fingerprint of another caller's request.
 type Fingerprint [16]byte
 
 // FingerprintOf returns the fingerprint of a request. caller is the caller's name, empty
-// where it shows none: an address names nobody, since callers share addresses and change
-// them. The host is left out, since it may name the daemon that was called. The query counts
-// only where there is no body, which says more.
+// if the request carries none: an address does not identify a caller, since callers share
+// addresses and change them. The host is left out, since it may name the daemon that was
+// called. The query counts only if there is no body, which is more specific.
 func FingerprintOf(method, path, query, caller string, body []byte) Fingerprint {
 	if len(body) > 0 {
 		query = ""
--- a/protocol/fingerprint_test.go
+++ b/protocol/fingerprint_test.go
@@ -8,26 +8,26 @@
 		t.Fatalf("the same request has the fingerprints %v and %v", base, again)
 	}
 	if other := FingerprintOf("POST", "/x/1", "q=3", "crew", []byte("body")); other != base {
-		t.Error("the query counts beside a body")
+		t.Error("the query changes the fingerprint of a request with a body")
 	}
 	if a, b := FingerprintOf("GET", "/x/1", "q=2", "", nil), FingerprintOf("GET", "/x/1", "q=3", "", nil); a == b {
-		t.Error("the query does not count without a body")
+		t.Error("the query does not change the fingerprint of a request without a body")
 	}
 	for name, other := range map[string]Fingerprint{
-		"method":       FingerprintOf("GET", "/x/1", "q=2", "crew", []byte("body")),
-		"path":         FingerprintOf("POST", "/x/2", "q=2", "crew", []byte("body")),
-		"no body":      FingerprintOf("POST", "/x/1", "q=2", "crew", nil),
-		"caller":       FingerprintOf("POST", "/x/1", "q=2", "desk", []byte("body")),
-		"body":         FingerprintOf("POST", "/x/1", "q=2", "crew", []byte("bodz")),
-		"moved border": FingerprintOf("POST", "/x/1c", "q=2", "rew", []byte("body")),
+		"method":                 FingerprintOf("GET", "/x/1", "q=2", "crew", []byte("body")),
+		"path":                   FingerprintOf("POST", "/x/2", "q=2", "crew", []byte("body")),
+		"no body":                FingerprintOf("POST", "/x/1", "q=2", "crew", nil),
+		"caller":                 FingerprintOf("POST", "/x/1", "q=2", "desk", []byte("body")),
+		"body":                   FingerprintOf("POST", "/x/1", "q=2", "crew", []byte("bodz")),
+		"shifted field boundary": FingerprintOf("POST", "/x/1c", "q=2", "rew", []byte("body")),
 	} {
 		if other == base {
-			t.Errorf("another %s, the same fingerprint", name)
+			t.Errorf("%s: the fingerprint does not change", name)
 		}
 	}
 }
 
-// BenchmarkFingerprint is of a prompt of ordinary size.
+// BenchmarkFingerprint uses a body of typical prompt size.
 func BenchmarkFingerprint(b *testing.B) {
 	body := make([]byte, 2<<10)
 	b.ReportAllocs()
--- a/protocol/ratelimit.go
+++ b/protocol/ratelimit.go
@@ -5,25 +5,26 @@
 	"strings"
 )
 
-// RateLimit is what an endpoint says in an answer of the requests a second that it takes from
-// all daemons together.
+// RateLimit is the number of requests per second that an endpoint, as it reports in an answer,
+// accepts from all daemons together.
 type RateLimit struct {
 	Rate    float64
-	Present bool // else the answer names no limit
-	// Unreadable is the beginning of a value that is no number; it counts as none.
+	Present bool // false if the answer states no limit
+	// Unreadable is the quoted beginning of a value that is not a number; such a value sets no
+	// limit.
 	Unreadable string
 }
 
 const (
-	// mostRate bounds a limit: beyond it no limit is meant that anybody could reach.
+	// maxRate bounds a limit: no load reaches a higher one, so that it limits nothing.
 	mostRate = 1e6
-	// rateBytes bounds the text of a limit.
+	// maxRateBytes bounds the text of a limit.
 	rateBytes = 32
 )
 
-// ReadRateLimit reads the values of a header that names a limit: a decimal number that is not
-// negative, with or without a fraction. Of several, also in one value with commas between, the
-// lowest counts: an endpoint that says two things is in need.
+// ReadRateLimit reads the values of a rate limit header: a decimal number that is not negative,
+// with or without a fraction. If there are several, also separated by commas in one value, the
+// lowest counts: an endpoint that reports conflicting limits is treated as overloaded.
 func ReadRateLimit(values []string) RateLimit {
 	var r RateLimit
 	for _, value := range values {
@@ -42,7 +43,7 @@
 
 func readRate(text string) (float64, bool) {
 	if len(text) > rateBytes || strings.Trim(text, "0123456789.") != "" {
-		return 0, false // also of exponents, signs, "NaN", "Inf"
+		return 0, false // exponents, signs, "NaN" and "Inf" are rejected as well
 	}
 	rate, err := strconv.ParseFloat(text, 64)
 	return min(rate, mostRate), err == nil
--- a/protocol/verdict.go
+++ b/protocol/verdict.go
@@ -16,7 +16,7 @@
 // Error is the class of every error that this package creates.
 var Error = errs.Class("protocol")
 
-// Verdict says whether a request may have run at an endpoint.
+// Verdict states whether a request may have run at an endpoint.
 type Verdict int
 
 // The verdicts, from the one that allows a retry to the one that forbids it.
@@ -55,14 +55,14 @@
 
 // Header names on the callers' and endpoints' side.
 const (
-	// HeaderTimeout is the time the caller gives the request, in whole
-	// milliseconds from its arrival.
+	// HeaderTimeout is the time limit that the caller sets for the request, in
+	// whole milliseconds from its arrival.
 	HeaderTimeout = "Doorvalve-Timeout-Ms"
 	// HeaderIdempotencyKey marks a request that may not be repeated.
 	HeaderIdempotencyKey = "Idempotency-Key"
-	// HeaderRequestID names one request across all its attempts.
+	// HeaderRequestID identifies one request across all its attempts.
 	HeaderRequestID = "Doorvalve-Request-Id"
-	// HeaderAttemptID names one attempt; an endpoint echoes it.
+	// HeaderAttemptID identifies one attempt; an endpoint echoes it.
 	HeaderAttemptID = "Doorvalve-Attempt-Id"
 	// HeaderResumeOffset asks an engine to resume the named attempt's
 	// stream from this event offset.
@@ -73,21 +73,21 @@
 	HeaderVerdict = "Doorvalve-Verdict"
 	// HeaderLeaving is set to "true" by an endpoint that is leaving.
 	HeaderLeaving = "Doorvalve-Leaving"
-	// HeaderRateLimit is what an endpoint says in each of its answers while it is in need:
-	// the requests a second, a decimal number, that it takes from all daemons together.
+	// HeaderRateLimit is set by an overloaded endpoint in each of its answers: the requests
+	// per second, a decimal number, that it accepts from all daemons together.
 	HeaderRateLimit = "Doorvalve-Rate-Limit"
 	// ContentTypeProblem is the media type of RFC 9457.
 	ContentTypeProblem = "application/problem+json"
 )
 
 // Refusal is the final answer to a request that was not answered by an
-// endpoint: an RFC 9457 problem with a verdict and the time to come back.
+// endpoint: an RFC 9457 problem with a verdict and a retry delay.
 type Refusal struct {
 	Status     int           // HTTP status code
 	Reason     string        // short, stable, machine-readable
-	Detail     string        // for people
+	Detail     string        // human-readable
 	Verdict    Verdict       // whether the request may have run
-	RetryAfter time.Duration // zero when repeating cannot help
+	RetryAfter time.Duration // zero when a retry cannot help
 }
 
 // Error implements error.
@@ -153,15 +153,15 @@
 	return strconv.FormatInt(max(1, int64(math.Ceil(d.Seconds()))), 10)
 }
 
-// MinRetryAfter keeps refused callers from coming back at once.
+// MinRetryAfter keeps refused callers from retrying immediately.
 const MinRetryAfter = 100 * time.Millisecond
 
-// Refuse builds a refusal whose verdict is NotRun.
+// Refuse returns a refusal whose verdict is NotRun.
 func Refuse(status int, reason, detail string, retryAfter time.Duration) *Refusal {
 	return &Refusal{Status: status, Reason: reason, Detail: detail, Verdict: NotRun, RetryAfter: retryAfter}
 }
 
-// Unsure builds a refusal whose verdict is MayHaveRun.
+// RefuseMayHaveRun returns a refusal whose verdict is MayHaveRun.
 func RefuseMayHaveRun(status int, reason, detail string) *Refusal {
 	return &Refusal{Status: status, Reason: reason, Detail: detail, Verdict: MayHaveRun}
 }
--- a/protocol/write.go
+++ b/protocol/write.go
@@ -1,6 +1,6 @@
 package protocol
 
-// WriteOutcome is how a conditional write to the platform ended.
+// WriteOutcome is the outcome of a conditional write to the platform.
 type WriteOutcome int
 
 // The outcomes of a conditional write.
@@ -9,7 +9,7 @@
 	WriteOK WriteOutcome = iota
 	// WriteConflict: the version differs; nothing was written.
 	WriteConflict
-	// WriteUnknown: no usable answer; the write may have taken effect, now or
-	// later.
+	// WriteUnknown: there was no usable answer; the write may have taken effect
+	// or may still do so.
 	WriteUnknown
 )
