--- a/protocol/backpressure.go
+++ b/protocol/backpressure.go
@@ -28,9 +28,9 @@
 
 const (
 	// maxPause bounds a pause: an endpoint that asks for more is not expected to return.
-	longestPause = 24 * time.Hour
+	maxPause = 24 * time.Hour
 	// maxPauseBytes bounds the text of a pause; an HTTP date has 29 bytes.
-	pauseBytes = 64
+	maxPauseBytes = 64
 )
 
 // ReadPause reads the values of a Retry-After header: seconds, with or without a fraction, or an
@@ -41,7 +41,7 @@
 	for _, value := range values {
 		d, ok := readPause(strings.TrimSpace(value), date, now)
 		if !ok {
-			p.Unreadable = strconv.Quote(value[:min(len(value), pauseBytes)])
+			p.Unreadable = strconv.Quote(value[:min(len(value), maxPauseBytes)])
 		}
 		p.For = max(p.For, d)
 	}
@@ -49,14 +49,14 @@
 }
 
 func readPause(text, date string, now time.Time) (time.Duration, bool) {
-	if len(text) > pauseBytes {
+	if len(text) > maxPauseBytes {
 		return 0, false
 	}
 	if at, err := http.ParseTime(text); err == nil {
 		if sent, err := http.ParseTime(date); err == nil {
 			now = sent
 		}
-		return min(max(0, at.Sub(now)), longestPause), true
+		return min(max(0, at.Sub(now)), maxPause), true
 	}
 	if strings.Trim(text, "0123456789.") != "" {
 		return 0, false // exponents, signs, "NaN" and "Inf" are rejected as well
@@ -65,7 +65,7 @@
 	if err != nil {
 		return 0, false
 	}
-	return time.Duration(min(seconds, longestPause.Seconds()) * float64(time.Second)), true
+	return time.Duration(min(seconds, maxPause.Seconds()) * float64(time.Second)), true
 }
 
 // ReadLeaving reads the values of a header with which an endpoint announces that it is leaving:
--- a/protocol/backpressure_test.go
+++ b/protocol/backpressure_test.go
@@ -21,7 +21,7 @@
 		{[]string{".25"}, "", 250 * time.Millisecond, false},
 		{[]string{"0"}, "", 0, false},
 		{[]string{"0.0"}, "", 0, false},
-		{[]string{"99999999999999999999999"}, "", longestPause, false},
+		{[]string{"99999999999999999999999"}, "", maxPause, false},
 		{[]string{"1", "3", "2"}, "", 3 * time.Second, false},
 		{[]string{"2", "soon"}, "", 2 * time.Second, true},
 		{[]string{"Thu, 03 Dec 2026 08:00:04 GMT"}, date, 4 * time.Second, false},
@@ -29,7 +29,7 @@
 		{[]string{"Thu, 03 Dec 2026 09:00:04 GMT"}, "no date", 4 * time.Second, false},
 		{[]string{"Thursday, 03-Dec-26 08:00:04 GMT"}, date, 4 * time.Second, false},
 		{[]string{"Thu, 03 Dec 2026 07:59:00 GMT"}, date, 0, false},
-		{[]string{"Thu, 03 Dec 2099 08:00:00 GMT"}, date, longestPause, false},
+		{[]string{"Thu, 03 Dec 2099 08:00:00 GMT"}, date, maxPause, false},
 		{[]string{"-1"}, "", 0, true},
 		{[]string{"+1"}, "", 0, true},
 		{[]string{"1e3"}, "", 0, true},
@@ -52,7 +52,7 @@
 	f.Add("Thu, 03 Dec 2026 08:00:04 GMT", "Thu, 03 Dec 2026 08:00:00 GMT")
 	f.Fuzz(func(t *testing.T, value, date string) {
 		p := ReadPause([]string{value}, date, time.Unix(1_800_000_000, 0))
-		if p.For < 0 || p.For > longestPause || len(p.Unreadable) > 10*pauseBytes {
+		if p.For < 0 || p.For > maxPause || len(p.Unreadable) > 10*maxPauseBytes {
 			t.Errorf("%q: %+v", value, p)
 		}
 	})
--- a/protocol/credential_test.go
+++ b/protocol/credential_test.go
@@ -9,7 +9,7 @@
 	for _, c := range []struct {
 		name    string
 		headers []string
-		shown   CredentialKind
+		kind    CredentialKind
 		key     string
 	}{
 		{"nothing", nil, CredentialNone, ""},
@@ -24,7 +24,7 @@
 		{"two headers", []string{"Bearer k", "Bearer k"}, CredentialMalformed, ""},
 	} {
 		got := ReadCredential(c.headers)
-		if got.Kind != c.shown || got.Kind == CredentialKey && got.Key != HashKey(c.key) {
+		if got.Kind != c.kind || got.Kind == CredentialKey && got.Key != HashKey(c.key) {
 			t.Errorf("%s: %+v", c.name, got)
 		}
 	}
@@ -48,9 +48,9 @@
 		if !strings.EqualFold(scheme, "bearer") || got.Key != HashKey(strings.TrimSpace(key)) {
 			t.Fatalf("%q: %+v", header, got)
 		}
-		back, err := ParseKeyHash(got.Key.String())
-		if err != nil || back != got.Key {
-			t.Fatalf("%v, %v", back, err)
+		parsed, err := ParseKeyHash(got.Key.String())
+		if err != nil || parsed != got.Key {
+			t.Fatalf("%v, %v", parsed, err)
 		}
 	})
 }
--- a/protocol/fingerprint_test.go
+++ b/protocol/fingerprint_test.go
@@ -2,10 +2,10 @@
 
 import "testing"
 
-func TestFingerprintTellsRequestsApart(t *testing.T) {
+func TestFingerprintDistinguishesRequests(t *testing.T) {
 	base := FingerprintOf("POST", "/x/1", "q=2", "crew", []byte("body"))
-	if again := FingerprintOf("POST", "/x/1", "q=2", "crew", []byte("body")); again != base {
-		t.Fatalf("the same request has the fingerprints %v and %v", base, again)
+	if repeated := FingerprintOf("POST", "/x/1", "q=2", "crew", []byte("body")); repeated != base {
+		t.Fatalf("the same request has the fingerprints %v and %v", base, repeated)
 	}
 	if other := FingerprintOf("POST", "/x/1", "q=3", "crew", []byte("body")); other != base {
 		t.Error("the query changes the fingerprint of a request with a body")
--- a/protocol/ratelimit.go
+++ b/protocol/ratelimit.go
@@ -17,9 +17,9 @@
 
 const (
 	// maxRate bounds a limit: no load reaches a higher one, so that it limits nothing.
-	mostRate = 1e6
+	maxRate = 1e6
 	// maxRateBytes bounds the text of a limit.
-	rateBytes = 32
+	maxRateBytes = 32
 )
 
 // ReadRateLimit reads the values of a rate limit header: a decimal number that is not negative,
@@ -32,7 +32,7 @@
 			rate, ok := readRate(strings.TrimSpace(text))
 			switch {
 			case !ok:
-				r.Unreadable = strconv.Quote(text[:min(len(text), rateBytes)])
+				r.Unreadable = strconv.Quote(text[:min(len(text), maxRateBytes)])
 			case !r.Present || rate < r.Rate:
 				r.Rate, r.Present = rate, true
 			}
@@ -42,9 +42,9 @@
 }
 
 func readRate(text string) (float64, bool) {
-	if len(text) > rateBytes || strings.Trim(text, "0123456789.") != "" {
+	if len(text) > maxRateBytes || strings.Trim(text, "0123456789.") != "" {
 		return 0, false // exponents, signs, "NaN" and "Inf" are rejected as well
 	}
 	rate, err := strconv.ParseFloat(text, 64)
-	return min(rate, mostRate), err == nil
+	return min(rate, maxRate), err == nil
 }
--- a/protocol/ratelimit_test.go
+++ b/protocol/ratelimit_test.go
@@ -10,7 +10,7 @@
 	for _, c := range []struct {
 		values     []string
 		rate       float64
-		named      bool
+		present    bool
 		unreadable bool
 	}{
 		{nil, 0, false, false},
@@ -22,7 +22,7 @@
 		{[]string{"007"}, 7, true, false},
 		{[]string{".5"}, 0.5, true, false},
 		{[]string{"5."}, 5, true, false},
-		{[]string{"99999999999999999999"}, mostRate, true, false},
+		{[]string{"99999999999999999999"}, maxRate, true, false},
 		{[]string{"2", "1.5"}, 1.5, true, false},
 		{[]string{"2, 3"}, 2, true, false},
 		{[]string{"2", "many"}, 2, true, true},
@@ -39,7 +39,7 @@
 		{[]string{strings.Repeat("1", 1000)}, 0, false, true},
 	} {
 		r := ReadRateLimit(c.values)
-		if r.Rate != c.rate || r.Present != c.named || (r.Unreadable != "") != c.unreadable {
+		if r.Rate != c.rate || r.Present != c.present || (r.Unreadable != "") != c.unreadable {
 			t.Errorf("%q: %+v", c.values, r)
 		}
 	}
@@ -50,7 +50,7 @@
 	f.Add("2,NaN")
 	f.Fuzz(func(t *testing.T, value string) {
 		r := ReadRateLimit([]string{value})
-		if math.IsNaN(r.Rate) || r.Rate < 0 || r.Rate > mostRate || len(r.Unreadable) > 10*rateBytes {
+		if math.IsNaN(r.Rate) || r.Rate < 0 || r.Rate > maxRate || len(r.Unreadable) > 10*maxRateBytes {
 			t.Errorf("%q: %+v", value, r)
 		}
 	})
