--- a/state/fleet/fleet.go
+++ b/state/fleet/fleet.go
@@ -1,5 +1,5 @@
-// Package fleet holds what a daemon believes of the endpoints at one moment,
-// as an immutable view that requests read without locks.
+// Package fleet holds a daemon's local view of the endpoints as an immutable
+// value that requests read without locks.
 package fleet
 
 import (
@@ -9,39 +9,40 @@
 	"github.com/doorvalve/doorvalve/state/storeversion"
 )
 
-// Loaded is one model that an endpoint holds.
+// LoadedModel is one model that an endpoint holds.
 type LoadedModel struct {
 	Model    string
 	Version  int
 	Adapters []string
 }
 
-// Endpoint is one process of a service, from one start to its end.
+// Endpoint describes one process of a service, from its start to its end.
 type Endpoint struct {
-	ID            string // may be used again by the next start
+	ID            string // may be reused by the next incarnation
 	StartUnixMs   int64  // see Incarnation
 	Service       string
 	Address       string
 	FailureDomain string // failure domain
 	Slots         int
-	// Software names the version of the endpoint's program, empty where it tells none.
+	// Software is the version of the endpoint's program, empty if it reports none.
 	Software string
 	// Leaving endpoints get no new requests.
 	Leaving bool
 	// Missing endpoints have no entry in the platform's store. They are kept for a
-	// while, since the entry may only have lapsed in an outage, and get requests.
+	// grace period and get requests, since the entry may only have lapsed in an
+	// outage of the store.
 	Missing bool
-	// Remaining is the time left until a leaving endpoint is gone, as it was
-	// announced; zero when unknown.
+	// Remaining is the announced time until a leaving endpoint stops; zero when
+	// unknown.
 	Remaining time.Duration
 	Models    []LoadedModel
 	InMemory  []string // models with a copy in host memory
 	OnDisk    []string // models with a copy on the endpoint's disk
-	// Version is that of this description in the platform's store.
+	// Version is the version of this description in the platform's store.
 	Version storeversion.Version
 }
 
-// Life returns the incarnation that the description is of.
+// Incarnation returns the incarnation that the description belongs to.
 func (e *Endpoint) Incarnation() Incarnation {
 	return Incarnation{ID: e.ID, StartUnixMs: e.StartUnixMs}
 }
@@ -64,8 +65,8 @@
 	ByService map[string][]*Endpoint // sorted by id
 }
 
-// Of returns the endpoint of an incarnation, nil if the view has none of its id or
-// of another life.
+// Find returns the endpoint of an incarnation, or nil if the view has no endpoint with
+// its id or has another incarnation of it.
 func (v *View) Find(i Incarnation) *Endpoint {
 	if e := v.ByID[i.ID]; e != nil && e.Incarnation().Matches(i) {
 		return e
