--- a/state/fleet/incarnation.go
+++ b/state/fleet/incarnation.go
@@ -18,16 +18,16 @@
 }
 
 // String returns the name of the incarnation, in the form that ParseIncarnation reads.
-func (i Incarnation) String() string { return i.ID + "/" + strconv.FormatInt(i.StartUnixMs, bornBase) }
+func (i Incarnation) String() string { return i.ID + "/" + strconv.FormatInt(i.StartUnixMs, startBase) }
 
 // startBase is the numeric base of the start time in an incarnation's name.
-const bornBase = 36
+const startBase = 36
 
 // ParseIncarnation parses the form that Incarnation.String returns.
 func ParseIncarnation(name string) (Incarnation, error) {
 	i := strings.LastIndexByte(name, '/')
-	born, err := strconv.ParseInt(name[i+1:], bornBase, 64)
-	return Incarnation{ID: name[:max(0, i)], StartUnixMs: born}, err
+	start, err := strconv.ParseInt(name[i+1:], startBase, 64)
+	return Incarnation{ID: name[:max(0, i)], StartUnixMs: start}, err
 }
 
 // IsZero reports whether i identifies no incarnation.
