--- a/state/routing/table.go
+++ b/state/routing/table.go
@@ -12,7 +12,7 @@
 	"github.com/doorvalve/doorvalve/state/workspace"
 )
 
-// Kind says how often a route's requests may run.
+// Kind states how often a route's requests may run.
 type Kind int
 
 // The kinds of route.
@@ -31,31 +31,30 @@
 	return [...]string{"unsafe", "safe", "streaming"}[k]
 }
 
-// Share is one service's part of a route's requests.
+// Share is one service's share of a route's requests.
 type Share struct {
 	Service string
 	Weight  int
 }
 
-// Route says where requests of one host and path prefix go.
+// Route states where requests for one host and path prefix go.
 type Route struct {
 	Name   string
 	Host   string
 	Prefix string // begins and ends with a slash
 	Kind   Kind
-	// Timeout is the longest time that a caller is kept waiting for the end of
-	// an answer.
+	// Timeout is the maximum time that a caller waits for the end of an answer.
 	Timeout time.Duration
-	// Target is the latency objective: to the first event of a stream, to the
-	// whole answer otherwise.
+	// LatencyTarget is the latency objective: to the first event of a stream, to
+	// the whole answer otherwise.
 	LatencyTarget time.Duration
-	// Patience is how long a caller waits for the first event of a stream
-	// before it leaves.
+	// MaxWait is how long a caller waits for the first event of a stream before
+	// it gives up.
 	MaxWait time.Duration
 	// GapTarget is the longest pause between two events of a stream.
 	GapTarget   time.Duration
 	Rank        int // 0 is served first
-	MaxAttempts int // endpoints that one request may run at, at most
+	MaxAttempts int // maximum number of endpoints that one request may run at
 	// Public routes take requests without a key.
 	Public    bool
 	Sticky    bool
@@ -63,14 +62,14 @@
 	Shares    []Share
 }
 
-// Repeatable reports whether a request may run a second time, or go on at a
-// second endpoint.
+// Repeatable reports whether a request may run a second time, or be resumed at
+// a second endpoint.
 func (r *Route) Repeatable() bool {
 	return r.Kind == Safe || r.Kind == Streaming && r.Resumable
 }
 
-// Service picks the service for a request by its id, in the proportion of the
-// weights, so that every daemon picks alike.
+// Service picks the service for a request in proportion to the weights. The
+// choice depends on the request's id only, so that every daemon makes the same one.
 func (r *Route) Service(requestID string) string {
 	if len(r.Shares) == 0 {
 		return ""
@@ -99,17 +98,17 @@
 	Adapters int
 	// Adapter size in MB; it shares the engine's memory with the weights.
 	AdapterMB float64
-	// Load times by the place of the nearest copy.
+	// Load times by the location of the nearest copy.
 	LoadFromStore, LoadFromDisk, LoadFromMemory time.Duration
 }
 
 // Engine describes the engines of a service.
 type Engine struct {
-	Slots          int     // requests that run at once
-	CacheTokens    int     // tokens that running requests and the prefix cache share
+	Slots          int     // maximum number of concurrent requests
+	CacheTokens    int     // shared by running requests and the prefix cache
 	MemoryMB       float64 // for weights and adapters
 	AdapterSlots   int
-	LoadsPerSecond float64 // that the weight store takes over all engines
+	LoadsPerSecond float64 // accepted by the weight store from all engines together
 	Models         map[string]Model
 }
 
@@ -119,8 +118,8 @@
 	HealthPath      string
 	ConnectionLimit int     // per endpoint, over all callers
 	Engine          *Engine // nil for a plain service
-	// LeastUrgent is the rank of the least urgent of its routes: its endpoints admit all
-	// others before them.
+	// LeastUrgentRank is the rank of the least urgent requests of its routes: its
+	// endpoints admit all other requests before them.
 	LeastUrgentRank int
 }
 
@@ -132,12 +131,12 @@
 	IdleTimeout   time.Duration
 }
 
-// Table is one version of the desired state. It does not change.
+// Table is one version of the desired state. It is immutable.
 type Table struct {
 	Version  uint64
 	Limits   Limits
 	Services map[string]*Service
-	// Workspaces may send requests; if there are none, everybody may.
+	// Workspaces lists who may send requests; if it is empty, everybody may.
 	Workspaces *workspace.Directory
 
 	byHost map[string][]*Route // longest prefix first
@@ -165,14 +164,14 @@
 	return t
 }
 
-// urgency is what workspaces say of how urgent their requests are.
+// urgency summarizes how urgent the requests of the workspaces are.
 type urgency struct {
-	keyed  bool // requests are of workspaces
-	ranked int  // the least urgent rank that a workspace has of its own
-	own    bool // some workspace has none, and takes its route's
+	keyed  bool // requests belong to workspaces
+	ranked int  // the least urgent of the ranks that workspaces define
+	own    bool // some workspace defines no rank, and uses the rank of the route
 }
 
-// urgencyOf returns what a directory's workspaces say.
+// urgencyOf returns the urgency of a directory's workspaces.
 func urgencyOf(d *workspace.Directory) urgency {
 	u := urgency{keyed: d.RequiresKey()}
 	for _, w := range d.List() {
@@ -196,7 +195,8 @@
 	return u.ranked
 }
 
-// RankOf returns the rank of a workspace's requests on a route; nil: of nobody's.
+// RankOf returns the rank of a workspace's requests on a route; a nil workspace stands for
+// requests without one.
 func (r *Route) RankOf(w *workspace.Workspace) int {
 	if w != nil && w.HasRank {
 		return w.Rank
--- a/state/routing/table_test.go
+++ b/state/routing/table_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// The least urgent rank of a service is that of its routes, shares of them included.
+// The least urgent rank of a service is the highest rank among all routes that have a share of
+// their requests at the service.
 func TestLeastUrgentRankOfAService(t *testing.T) {
 	services := []*Service{{Name: "llm"}, {Name: "app"}, {Name: "unused"}}
 	NewTable(1, Limits{}, services, []*Route{
