--- a/state/routing/table.go
+++ b/state/routing/table.go
@@ -166,19 +166,19 @@
 
 // urgency summarizes how urgent the requests of the workspaces are.
 type urgency struct {
-	keyed  bool // requests belong to workspaces
-	ranked int  // the least urgent of the ranks that workspaces define
-	own    bool // some workspace defines no rank, and uses the rank of the route
+	keyRequired bool // requests belong to workspaces
+	maxRank     int  // the least urgent of the ranks that workspaces define
+	anyUnranked bool // some workspace defines no rank, and uses the rank of the route
 }
 
 // urgencyOf returns the urgency of a directory's workspaces.
 func urgencyOf(d *workspace.Directory) urgency {
-	u := urgency{keyed: d.RequiresKey()}
+	u := urgency{keyRequired: d.RequiresKey()}
 	for _, w := range d.List() {
 		if w.HasRank {
-			u.ranked = max(u.ranked, w.Rank)
+			u.maxRank = max(u.maxRank, w.Rank)
 		} else {
-			u.own = true
+			u.anyUnranked = true
 		}
 	}
 	return u
@@ -186,13 +186,13 @@
 
 // least returns the rank of the least urgent requests of a route.
 func (u urgency) least(r *Route) int {
-	if !u.keyed {
+	if !u.keyRequired {
 		return r.Rank
 	}
-	if u.own || r.Public {
-		return max(u.ranked, r.Rank)
+	if u.anyUnranked || r.Public {
+		return max(u.maxRank, r.Rank)
 	}
-	return u.ranked
+	return u.maxRank
 }
 
 // RankOf returns the rank of a workspace's requests on a route; a nil workspace stands for
