--- a/state/workspace/workspace.go
+++ b/state/workspace/workspace.go
@@ -1,10 +1,10 @@
-// Package workspace holds who may send requests: workspaces with their keys, their rank and
-// their quota, as an immutable directory that requests read without locks.
+// Package workspace holds the workspaces that may send requests, with their keys, ranks and
+// quotas, as an immutable directory that requests read without locks.
 package workspace
 
 import "github.com/doorvalve/doorvalve/protocol"
 
-// Unit is what a quota is counted in.
+// Unit is the unit in which a quota is counted.
 type Unit int
 
 // The units of a quota.
@@ -13,19 +13,19 @@
 	Tokens
 )
 
-// Quota bounds what a workspace may send, over all daemons together.
+// Quota bounds the load that a workspace may send to all daemons together.
 type Quota struct {
 	Unit          Unit
-	Rate          float64 // units a second; 0: no bound
-	Burst         float64 // units that may come at once after a pause
-	DefaultTokens float64 // tokens that a request without a count stands for
+	Rate          float64 // units per second; 0: no bound
+	Burst         float64 // units that may arrive at once after a pause
+	DefaultTokens float64 // tokens charged for a request that does not state its tokens
 }
 
-// Bounded reports whether there is a bound at all.
+// Bounded reports whether the quota sets a bound at all.
 func (a Quota) Bounded() bool { return a.Rate > 0 }
 
-// Cost returns what a request takes of the quota. counted says that it tells its
-// tokens.
+// Cost returns the units of the quota that a request uses. counted reports whether the
+// request states its tokens.
 func (a Quota) Cost(tokens int, counted bool) float64 {
 	switch {
 	case a.Unit == Requests:
@@ -39,20 +39,20 @@
 // Workspace is one group of callers.
 type Workspace struct {
 	Name string
-	// Rank goes before the rank of a route, if Ranked; 0 is served first.
+	// Rank overrides the rank of a route if HasRank is set; 0 is served first.
 	Rank    int
 	HasRank bool
 	Quota   Quota
 }
 
-// Declared is a workspace with the keys that stand for it.
+// Declaration is a workspace with the keys that identify it.
 type Declaration struct {
 	Workspace
 	Keys []protocol.KeyHash
 }
 
-// Directory finds workspaces by key. It does not change. The zero value, and nil, know none:
-// requests need no key then.
+// Directory finds workspaces by key. It is immutable. The zero value and nil hold no workspaces;
+// requests then need no key.
 type Directory struct {
 	list   []*Workspace
 	byKey  map[protocol.KeyHash]*Workspace
@@ -60,7 +60,8 @@
 	shared int
 }
 
-// NewDirectory indexes workspaces. A key that several declare stands for the first of them.
+// NewDirectory indexes workspaces. A key that several workspaces declare identifies the first of
+// them.
 func NewDirectory(list []Declaration) *Directory {
 	d := &Directory{byKey: map[protocol.KeyHash]*Workspace{}, byName: map[string]*Workspace{}}
 	for i := range list {
@@ -78,10 +79,10 @@
 	return d
 }
 
-// Keyed reports whether requests need a key.
+// RequiresKey reports whether requests need a key.
 func (d *Directory) RequiresKey() bool { return d != nil && len(d.list) > 0 }
 
-// Find returns the workspace that a key stands for, nil if there is none.
+// ByKey returns the workspace that a key identifies, or nil if there is none.
 func (d *Directory) ByKey(key protocol.KeyHash) *Workspace {
 	if d == nil {
 		return nil
@@ -89,7 +90,7 @@
 	return d.byKey[key]
 }
 
-// Named returns a workspace, nil if there is none of this name.
+// ByName returns the workspace with a name, or nil if there is none.
 func (d *Directory) ByName(name string) *Workspace {
 	if d == nil {
 		return nil
@@ -97,7 +98,7 @@
 	return d.byName[name]
 }
 
-// List returns all workspaces as they were declared.
+// List returns all workspaces in the order of their declarations.
 func (d *Directory) List() []*Workspace {
 	if d == nil {
 		return nil
@@ -105,7 +106,7 @@
 	return d.list
 }
 
-// Shared returns how many keys stand in several workspaces.
+// SharedKeys returns the number of repeated declarations of keys by further workspaces.
 func (d *Directory) SharedKeys() int {
 	if d == nil {
 		return 0
