--- a/state/workspace/workspace.go
+++ b/state/workspace/workspace.go
@@ -54,10 +54,10 @@
 // Directory finds workspaces by key. It is immutable. The zero value and nil hold no workspaces;
 // requests then need no key.
 type Directory struct {
-	list   []*Workspace
-	byKey  map[protocol.KeyHash]*Workspace
-	byName map[string]*Workspace
-	shared int
+	list       []*Workspace
+	byKey      map[protocol.KeyHash]*Workspace
+	byName     map[string]*Workspace
+	sharedKeys int
 }
 
 // NewDirectory indexes workspaces. A key that several workspaces declare identifies the first of
@@ -72,7 +72,7 @@
 			if d.byKey[key] == nil {
 				d.byKey[key] = w
 			} else if d.byKey[key] != w {
-				d.shared++
+				d.sharedKeys++
 			}
 		}
 	}
@@ -111,5 +111,5 @@
 	if d == nil {
 		return 0
 	}
-	return d.shared
+	return d.sharedKeys
 }
