--- a/state/storeversion/storeversion.go
+++ b/state/storeversion/storeversion.go
@@ -1,5 +1,5 @@
-// Package storeversion orders what the platform's store says, also where it comes back from an
-// older copy and gives its revisions out again.
+// Package storeversion orders the answers of the platform's store, also when the store is restored
+// from an older copy and assigns its revisions again.
 package storeversion
 
 import (
@@ -7,13 +7,13 @@
 	"strconv"
 )
 
-// Version is a place in the history of the platform's store: a generation, and a revision within
-// it. A revision alone compares nothing: after a restore the same one names other content. The zero
-// Version comes before all others.
+// Version is a position in the history of the platform's store: a generation, and a revision within
+// it. Revisions alone cannot be compared: after a restore, the same revision stands for other
+// content. The zero Version comes before all others.
 type Version struct {
-	// Generation rises each time the store comes back from a copy; 0 where the store names none.
+	// Generation increases each time the store is restored from a copy; 0 if the store reports none.
 	Generation uint64
-	// Revision rises with each change within a generation; 0 for an object that is not there.
+	// Revision increases with each change within a generation; 0 for an object that does not exist.
 	Revision uint64
 }
 
@@ -28,20 +28,21 @@
 // After reports whether v comes after o.
 func (v Version) After(o Version) bool { return v.Compare(o) > 0 }
 
-// Absent reports whether it is the version of an object that is not there.
+// Absent reports whether v is the version of an object that does not exist.
 func (v Version) Absent() bool { return v.Revision == 0 }
 
-// At returns another revision of the same generation.
+// WithRevision returns the version of another revision in the same generation.
 func (v Version) WithRevision(revision uint64) Version { return Version{v.Generation, revision} }
 
-// revisionBits is the part of Number that holds the revision.
+// revisionBits is the number of low bits of Number that hold the revision.
 const revisionBits = 44
 
-// Number returns the version as one number in the same order, for what is ordered by numbers, as
-// facts among daemons are. It holds for revisions below 2^44 and generations below 2^20.
+// Number returns the version as one number that keeps the order, for values that are ordered by a
+// number, such as facts exchanged among daemons. Revisions must be below 2^44 and generations below
+// 2^20.
 func (v Version) Number() uint64 { return v.Generation<<revisionBits | v.Revision }
 
-// GenerationOf returns the generation of a version by its Number.
+// GenerationOf returns the generation of a version, given its Number.
 func GenerationOf(number uint64) uint64 { return number >> revisionBits }
 
 // String returns generation/revision.
--- a/state/storeversion/storeversion_test.go
+++ b/state/storeversion/storeversion_test.go
@@ -33,13 +33,13 @@
 	rapid.Check(t, func(t *rapid.T) {
 		a, b, c := version.Draw(t, "a"), version.Draw(t, "b"), version.Draw(t, "c")
 		if (a == b) != (a.Compare(b) == 0) || a.Before(b) != b.After(a) {
-			t.Fatalf("%v and %v", a, b)
+			t.Fatalf("inconsistent order of %v and %v", a, b)
 		}
 		if a.Before(b) && b.Before(c) && !a.Before(c) {
-			t.Fatalf("%v, %v, %v", a, b, c)
+			t.Fatalf("order is not transitive: %v, %v, %v", a, b, c)
 		}
 		if m := Max(a, b); m != a && m != b || m.Before(a) || m.Before(b) {
-			t.Fatalf("the later of %v and %v is %v", a, b, m)
+			t.Fatalf("Max(%v, %v) = %v", a, b, m)
 		}
 	})
 }
