--- a/state/storeversion/storeversion_test.go
+++ b/state/storeversion/storeversion_test.go
@@ -6,7 +6,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestGenerationGoesBeforeRevision(t *testing.T) {
+func TestGenerationPrecedesRevision(t *testing.T) {
 	for _, c := range []struct {
 		a, b Version
 		want int
