--- a/state/snapshot/snapshot.go
+++ b/state/snapshot/snapshot.go
@@ -1,4 +1,4 @@
-// Package snapshot holds the immutable view of the configuration in force that
+// Package snapshot holds the configuration in force as an immutable value that
 // requests read with one atomic load.
 package snapshot
 
@@ -12,7 +12,7 @@
 	"github.com/doorvalve/doorvalve/state/workspace"
 )
 
-// Snapshot is one generation in force. It never changes.
+// Snapshot is one generation of the configuration. It is immutable.
 type Snapshot struct {
 	Generation uint64
 	Digest     string
@@ -20,7 +20,8 @@
 	Bundle     *bundle.Bundle
 	Units      map[string]bundle.Unit // models and adapters by name
 
-	// Workspaces finds callers by key beside Bundle.Callers.
+	// Workspaces finds the workspaces of callers by key, in addition to
+	// Bundle.Callers.
 	Workspaces *workspace.Directory
 
 	callers map[string]*bundle.Caller // by hash of the token
@@ -55,31 +56,32 @@
 	}
 	for _, text := range w.KeysSHA256 {
 		key, err := protocol.ParseKeyHash(text[:min(len(text), 2*len(protocol.KeyHash{}))])
-		if err == nil { // a bundle in force was checked
+		if err == nil { // never fails: a bundle in force has been checked
 			d.Keys = append(d.Keys, key)
 		}
 	}
 	return d
 }
 
-// Identity is who a caller is and what its requests are worth.
+// Identity identifies a caller and the worth of its requests.
 type Identity struct {
 	Caller    string
 	Class     *bundle.Class
-	Workspace *workspace.Workspace // that its requests are counted for; nil: none
+	Workspace *workspace.Workspace // charged for the caller's requests; nil: none
 }
 
-// Of returns the identity of callers that show a key of a workspace.
+// IdentityOf returns the identity of callers that authenticate with a key of a workspace.
 func (s *Snapshot) IdentityOf(w *workspace.Workspace) Identity {
 	return Identity{Caller: w.Name, Class: s.Bundle.Class(s.classes[w.Name]), Workspace: w}
 }
 
-// anonymous is the caller's name without a token.
+// anonymous is the name of callers without a token.
 const anonymous = "anonymous"
 
-// Identify finds the caller by an Authorization header. The class comes from
-// the bundle alone. Tokens are looked up by their hash, so that the time taken
-// says nothing about a token's characters.
+// Identify finds the caller by an Authorization header; it returns false for an
+// unknown token, and for no token if there is no default class. The class comes
+// from the bundle alone. Tokens are looked up by their hash, so that the time
+// taken reveals nothing about a token's characters.
 func (s *Snapshot) Identify(authorization string) (Identity, bool) {
 	token, ok := strings.CutPrefix(authorization, "Bearer ")
 	if !ok {
@@ -94,7 +96,7 @@
 	return Identity{Caller: c.Name, Class: s.Bundle.Class(c.Class)}, true
 }
 
-// NonRepeatable reports whether a call of a plain service may run at most once.
+// NonRepeatable reports whether a call of a plain service must run at most once.
 func NonRepeatable(s *bundle.Service, method, path string) bool {
 	for _, r := range s.NonRepeatable {
 		if r.Method == method && (path == r.Path || strings.HasPrefix(path, strings.TrimSuffix(r.Path, "/")+"/")) {
