--- a/state/bundle/bundle.go
+++ b/state/bundle/bundle.go
@@ -12,17 +12,17 @@
 // Format is the only bundle format that this version reads.
 const Format = 1
 
-// Mode says who gives a service's endpoints their orders.
+// Mode states who sends orders to a service's endpoints.
 type Mode string
 
-// The modes of a service, in the order in which an operator moves it over.
+// The modes of a service, in the order in which an operator migrates it.
 const (
 	// ModeScripts leaves the service to the operator's scripts: its memory
-	// counts as taken and nothing is ordered.
+	// counts as used, and no orders are sent.
 	ModeScripts Mode = "scripts"
-	// ModeWatched observes and routes, but orders nothing.
+	// ModeWatched observes and routes, but sends no orders.
 	ModeWatched Mode = "watched"
-	// ModeManaged decides and orders.
+	// ModeManaged decides on placement and sends orders.
 	ModeManaged Mode = "managed"
 )
 
@@ -56,7 +56,7 @@
 type Class struct {
 	Name    string   `json:"name"`
 	Worth   int64    `json:"worth"`   // higher is served first
-	Timeout Duration `json:"timeout"` // deadline when the caller names none
+	Timeout Duration `json:"timeout"` // deadline if the caller sets none
 }
 
 // Caller is one known caller, authenticated by a bearer token.
@@ -66,8 +66,8 @@
 	TokenSHA256 string `json:"token_sha256"` // lower-case hex
 }
 
-// Workspace is a group of callers that show one of its keys as their bearer token. While one
-// key replaces another, both stand here.
+// Workspace is a group of callers that send one of its keys as their bearer token. During the
+// replacement of a key, both the old and the new key are listed.
 type Workspace struct {
 	Name       string   `json:"name"`
 	Class      string   `json:"class"`
@@ -78,10 +78,10 @@
 // Quota bounds the requests of a workspace at all daemons together.
 type Quota struct {
 	RequestsPerSecond float64 `json:"requests_per_second"`
-	Burst             float64 `json:"burst"` // requests that may come at once after a pause
+	Burst             float64 `json:"burst"` // requests that may arrive at once after a pause
 }
 
-// Claims sets how keys of requests that may not be repeated are kept.
+// Claims configures how the keys of requests that must not be repeated are kept.
 type Claims struct {
 	Shards    int      `json:"shards"`
 	Retention Duration `json:"retention"`
@@ -97,7 +97,7 @@
 	// MinIdle and MaxIdle bound the time an unused replica is kept.
 	MinIdle Duration `json:"min_idle"`
 	MaxIdle Duration `json:"max_idle"`
-	// LoadsAtOnce and LoadsPerSecond are the weight store's budget.
+	// LoadsAtOnce and LoadsPerSecond bound the loads from the weight store.
 	LoadsAtOnce    int     `json:"loads_at_once"`
 	LoadsPerSecond float64 `json:"loads_per_second"`
 }
@@ -119,18 +119,18 @@
 	Path   string `json:"path"`
 }
 
-// Endpoint is one back end of a service.
+// Endpoint is one endpoint of a service.
 type Endpoint struct {
 	Name          string `json:"name"`
 	Address       string `json:"address"` // IP:port
 	FailureDomain string `json:"failure_domain"`
 	MemoryMiB     int64  `json:"memory_mib,omitempty"`
 	KVReserveMiB  int64  `json:"kv_reserve_mib,omitempty"`
-	Slots         int    `json:"slots"` // requests at once
-	// ChecksFencing says that the engine refuses orders with an old
+	Slots         int    `json:"slots"` // maximum number of concurrent requests
+	// ChecksFencing reports whether the engine refuses orders with an old
 	// fencing number.
 	ChecksFencing bool `json:"checks_fencing,omitempty"`
-	// Drain asks for no new work on this endpoint.
+	// Drain keeps new work off this endpoint.
 	Drain bool `json:"drain,omitempty"`
 }
 
@@ -159,7 +159,7 @@
 	Worth       int64    `json:"worth,omitempty"`
 }
 
-// Digest names content by its SHA-256 in hex.
+// Digest returns the SHA-256 of content in hex.
 func Digest(content []byte) string {
 	sum := sha256.Sum256(content)
 	return hex.EncodeToString(sum[:])
@@ -181,7 +181,7 @@
 	return err
 }
 
-// Unit is what a request can name: a model, or an adapter on its base.
+// Unit is a model, or an adapter on its base model: requests name one of them.
 type Unit struct {
 	Name           string
 	Service        string
--- a/state/bundle/bundle_test.go
+++ b/state/bundle/bundle_test.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// Each fault names its line, its field and what was expected, and all faults
-// come at once.
+// Each fault states its line, its field and the expected value, and all faults
+// are returned at once.
 func TestFaultsNameLineAndField(t *testing.T) {
 	content := string(sample(t, "tsasan.hujson"))
 	cases := []struct{ name, from, to, field, want string }{
@@ -65,7 +65,7 @@
 		line := 1 + strings.Count(content[:strings.Index(content, c.from)], "\n")
 		found := false
 		for _, i := range issues {
-			near := i.Line >= line && i.Line <= line+3 // a syntax error shows after its cause
+			near := i.Line >= line && i.Line <= line+3 // a syntax error is reported after its cause
 			found = found || i.Field == c.field && strings.Contains(i.Want, c.want) && near && i.File == "b.hujson"
 		}
 		if !found {
--- a/state/bundle/check.go
+++ b/state/bundle/check.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Limits that a bundle must keep.
+// Limits on the values of a bundle.
 const (
 	MaxAddressTTL = 5 * time.Minute
 	MaxShards     = 256
@@ -29,7 +29,7 @@
 // NewChecker returns a checker for a file that DecodeStrict has read.
 func NewChecker(file string, lines *Lines) *Checker { return &Checker{file: file, lines: lines} }
 
-// Want records a fault at path unless ok; format says what was expected.
+// Require records a fault at path unless ok is true; format states what was expected.
 func (c *Checker) Require(ok bool, path, format string, args ...any) {
 	if ok {
 		return
@@ -93,8 +93,8 @@
 	}
 }
 
-// workspace checks one workspace. Its name and keys are not those of a caller or of another
-// workspace: callers and tokens hold what stands before it.
+// workspace checks one workspace. Its name and keys must differ from those of callers and other
+// workspaces: callers and tokens hold the names and keys listed before it.
 func (c checker) workspace(b *Bundle, path string, w Workspace, callers, tokens map[string]string) {
 	c.names("workspace", callers, path+".name", w.Name)
 	c.Require(b.Class(w.Class) != nil, path+".class", "the name of a class, found %q", w.Class)
--- a/state/bundle/parse.go
+++ b/state/bundle/parse.go
@@ -17,7 +17,7 @@
 // MaxBytes bounds a bundle, so that it fits one value of the object API.
 const MaxBytes = 900 << 10
 
-// Issue is one fault in a file: where it is and what was expected.
+// Issue is one fault in a file, with its position and the expected value.
 type Issue struct {
 	File  string
 	Line  int // 1-based; 0 when unknown
@@ -33,7 +33,7 @@
 // Issues is a list of faults as one error.
 type Issues []Issue
 
-// Error implements error with one issue a line.
+// Error implements error. It returns one line for each issue.
 func (is Issues) Error() string {
 	lines := make([]string, len(is))
 	for i, issue := range is {
@@ -42,8 +42,8 @@
 	return strings.Join(lines, "\n")
 }
 
-// Parse reads JSON with comments strictly and checks it. All faults come
-// back at once, as Issues.
+// Parse reads JSON with comments strictly and checks it. It returns all faults
+// at once, as Issues.
 func Parse(file string, content []byte) (*Bundle, error) {
 	if len(content) > MaxBytes {
 		return nil, Issues{{File: file, Field: "(file)", Want: fmt.Sprintf("at most %d bytes, found %d", MaxBytes, len(content))}}
@@ -59,7 +59,7 @@
 	return &b, nil
 }
 
-// DecodeStrict reads JSON with comments into v, refusing unknown fields, and
+// DecodeStrict reads JSON with comments into v, rejecting unknown fields, and
 // returns the line of each field by its path.
 func DecodeStrict(file string, content []byte, v any) (*Lines, error) {
 	root, err := hujson.Parse(content)
@@ -67,7 +67,7 @@
 		return nil, Issues{{File: file, Line: lineOfSyntaxError(err), Field: "(file)", Want: "JSON with comments: " + err.Error()}}
 	}
 	lines := &Lines{content: content}
-	root.Standardize() // keeps offsets: comments become spaces
+	root.Standardize() // keeps offsets, as comments become spaces
 	dec := json.NewDecoder(bytes.NewReader(root.Pack()))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(v); err != nil {
@@ -98,8 +98,8 @@
 
 // Lines maps the path of a field, such as "models[2].memory_mib", to its line.
 //
-// It is built only when a fault is to be named: a daemon that takes a bundle
-// which was checked before needs no lines.
+// The index is built on first use only: a daemon that loads a bundle which has
+// been checked before needs no lines.
 type Lines struct {
 	content []byte
 	byPath  map[string]int
@@ -117,7 +117,7 @@
 	}
 }
 
-// Of returns the line of path, or of its nearest parent that is present.
+// LineOf returns the line of path, or of its nearest parent that is present.
 func (l *Lines) LineOf(path string) int {
 	l.build()
 	for path != "" {
