--- a/state/bundle/bundle_test.go
+++ b/state/bundle/bundle_test.go
@@ -31,7 +31,7 @@
 
 // Each fault states its line, its field and the expected value, and all faults
 // are returned at once.
-func TestFaultsNameLineAndField(t *testing.T) {
+func TestFaultsStateLineAndField(t *testing.T) {
 	content := string(sample(t, "tsasan.hujson"))
 	cases := []struct{ name, from, to, field, want string }{
 		{"unknown field", `"format": 1`, `"formt": 1`, "formt", "unknown"},
