--- a/driver/storeview/age.go
+++ b/driver/storeview/age.go
@@ -7,7 +7,7 @@
 	"github.com/doorvalve/doorvalve/coordination/relay"
 )
 
-// maxAge is the age of what does not come from the store at all.
+// maxAge is the age reported for data that has never been received from the store.
 const maxAge = time.Hour
 
 func silentFor(f *discovery.Follower, now time.Time) bool {
@@ -15,38 +15,39 @@
 	return !since.IsZero() && now.Sub(since) >= peersAfter
 }
 
-// Silent reports whether the store has not answered this daemon for a while.
+// StoreUnresponsive reports whether this daemon's calls to the store have failed for
+// peerFallbackDelay.
 func (v *View) StoreUnresponsive(now time.Time) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return silentFor(v.endpoints, now)
 }
 
-// StoreAway reports whether the store has not answered for a while, neither this
-// daemon nor one that it hears from. Where it only turns this daemon away, Silent is
-// true and StoreAway is not.
+// StoreOutage reports whether the store has answered neither this daemon nor any daemon
+// that it receives data from for a while. If the store rejects only this daemon,
+// StoreUnresponsive is true and StoreOutage is false.
 func (v *View) StoreOutage(now time.Time) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return silentFor(v.endpoints, now) && now.Sub(v.seen()[relay.Endpoints]) >= v.part(stalePart)
 }
 
-// Seen returns the time up to which the store has been followed, by this daemon or
-// by those that it takes from.
+// Freshness returns the time up to which all changes in the store are included, as
+// received from the store or from other daemons.
 func (v *View) Freshness() relay.Freshness {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.seen()
 }
 
-// seen is Seen; the caller holds the mutex.
+// freshness is Freshness; the caller holds the mutex.
 func (v *View) seen() relay.Freshness {
 	own := relay.Freshness{relay.Endpoints: v.endpoints.AsOf(), relay.DesiredState: v.config.AsOf()}
 	return relay.Latest(own, v.source.Freshness())
 }
 
-// Age returns how old what is believed of a kind may be; maxAge before the first
-// word.
+// Age returns the maximum age of the local data of a kind; maxAge before any has been
+// received.
 func (v *View) Age(kind relay.Kind) time.Duration {
 	at := v.Freshness()[kind]
 	if at.IsZero() {
--- a/driver/storeview/age_test.go
+++ b/driver/storeview/age_test.go
@@ -9,9 +9,9 @@
 	"github.com/doorvalve/doorvalve/state/fleet"
 )
 
-// Answers of upstreams that are long on their way, as over a full link, are not
-// taken for younger than they are: the follower asks the store in time. Where the
-// store turns it away as well, it knows how old its view is.
+// The transfer time of an upstream's answer, as over a full link, counts into the age
+// of its data: the follower reads the store in time. The age is right also if the store
+// rejects the follower.
 func TestAgeCountsTheWay(t *testing.T) {
 	const late = 1100 * time.Millisecond
 	atOffsets(t, func(b *bubble, offset time.Duration) {
@@ -28,8 +28,8 @@
 	})
 }
 
-// How old a daemon says that its view is, is never less than it is: whatever an
-// endpoint's entry says now, the view shows what it said that long ago, or later.
+// A daemon never reports an age of its view that is too low: the view includes every
+// change to an endpoint's entry that was written longer ago than the reported age.
 func TestAgeIsNeverTooYoung(t *testing.T) {
 	inBubble(t, func(b *bubble) {
 		p := b.pair()
@@ -43,20 +43,20 @@
 			written[p.store.revision] = time.Now()
 			p.store.mu.Unlock()
 			time.Sleep(time.Duration(37+i%90) * time.Millisecond)
-			age := p.follower.Age(relay.Endpoints) // before the view, which may change between
+			age := p.follower.Age(relay.Endpoints) // read before the view, which may change in between
 			view := p.follower.Endpoints()
 			shown := view.ByID["a"].Version.Revision
 			for revision, at := range written {
 				if revision > shown && time.Since(at) > age {
-					t.Fatalf("change %d: written %v ago and not shown, the view says that it is %v old", i, time.Since(at), age)
+					t.Fatalf("change %d: written %v ago but not in the view, whose reported age is %v", i, time.Since(at), age)
 				}
 			}
 		}
 	})
 }
 
-// A large desired state that can be packed goes with the polls: no daemon that takes
-// from others reads it from the store.
+// A large desired state that compresses well is sent with the answers to polls: no follower
+// reads it from the store.
 func TestDesiredStateIsSentPacked(t *testing.T) {
 	inBubble(t, func(b *bubble) {
 		p := b.pair()
@@ -67,7 +67,7 @@
 		p.store.setConfig(2)
 		time.Sleep(100 * time.Millisecond)
 		if p.follower.Table().Version != 2 {
-			t.Error("not in force")
+			t.Error("the desired state is not in force")
 		}
 		if n := p.ways[2].calls() - before; n != 0 {
 			t.Errorf("%d reads of the store", n)
@@ -75,19 +75,19 @@
 	})
 }
 
-// What another daemon sends is bounded and checked before it is decoded.
+// A desired state from another daemon is checked and limited in size when it is decompressed.
 func TestPackedDesiredStateIsBounded(t *testing.T) {
 	if _, err := unpack([]byte("no gzip")); err == nil {
-		t.Error("content that is not packed is taken")
+		t.Error("content that is not compressed was accepted")
 	}
 	huge := &desiredContent{raw: make([]byte, maxDesiredBytes+1)}
 	if _, err := unpack(huge.pack()); err == nil {
-		t.Error("content beyond any object of the store is taken")
+		t.Error("content larger than any object of the store was accepted")
 	}
 }
 
-// A daemon that begins to follow the store, because another one went, asks it at
-// once: others take from it from then on.
+// A daemon that becomes a watcher, because another watcher has left, reads the store at
+// once, since other daemons copy from it from then on.
 func TestNewWatcherAsksAtOnce(t *testing.T) {
 	atOffsets(t, func(b *bubble, offset time.Duration) {
 		p := b.pair()
@@ -107,17 +107,17 @@
 		})
 		time.Sleep(5*time.Second + offset)
 		close(watches)
-		time.Sleep(700 * time.Millisecond) // the poll that is on its way is answered
+		time.Sleep(700 * time.Millisecond) // until the poll in progress is answered
 		p.change()
-		time.Sleep(600 * time.Millisecond) // less than until what it has heard gets old
+		time.Sleep(600 * time.Millisecond) // less than the time until the copied data becomes stale
 		if v.takes("a") || v.takes("b") {
-			t.Errorf("offset %v: endpoints that leave or are gone still take requests", offset)
+			t.Errorf("offset %v: leaving or removed endpoints still get requests", offset)
 		}
 	})
 }
 
-// A removal during an outage keeps the entry for the grace after the store's
-// return: it may only have lapsed. One after the grace does not.
+// An entry that is removed during an outage of the store is kept for a grace period
+// after the store's return, since it may only have lapsed, and dropped afterwards.
 func TestLapseInAnOutageIsWaitedFor(t *testing.T) {
 	inBubble(t, func(b *bubble) {
 		s := newFakeStore()
@@ -131,17 +131,18 @@
 		s.setAway(false)
 		time.Sleep(retryMost + 500*time.Millisecond)
 		if !v.takes("a") {
-			t.Error("an entry that lapsed in an outage was dropped at once")
+			t.Error("an entry that lapsed during an outage was dropped at once")
 		}
 		time.Sleep(2 * time.Second)
 		if v.takes("a") || !v.takes("b") {
-			t.Error("the grace did not end")
+			t.Error("the entry was not dropped after the grace period")
 		}
 	})
 }
 
-// A watcher that the store has turned away, and that hears of it through others,
-// keeps nothing for its own return: the store was there all the while.
+// A watcher that the store rejects for a while, and that receives the store's data through
+// other daemons meanwhile, grants no grace period afterwards: there was no outage of the
+// store.
 func TestTurnedAwayIsNoOutage(t *testing.T) {
 	atOffsets(t, func(b *bubble, offset time.Duration) {
 		p := b.pair()
@@ -157,13 +158,13 @@
 		p.change()
 		time.Sleep(leaveWithin - 200*time.Millisecond)
 		if v.takes("a") || v.takes("b") {
-			t.Errorf("offset %v: endpoints that leave or are gone still take requests", offset)
+			t.Errorf("offset %v: leaving or removed endpoints still get requests", offset)
 		}
 	})
 }
 
-// The store turns one daemon away: it is silent there, and not away. In an outage it
-// is both, and neither after its return.
+// If the store rejects one daemon, it is unresponsive for this daemon, but there is no
+// outage. In an outage both hold, and neither after the store's return.
 func TestTurnedAwayIsToldFromAway(t *testing.T) {
 	inBubble(t, func(b *bubble) {
 		p := b.pair()
@@ -176,25 +177,26 @@
 			t.Helper()
 			time.Sleep(4 * time.Second)
 			if got := v.StoreUnresponsive(time.Now()); got != silent {
-				t.Errorf("%s: silent %v", when, got)
+				t.Errorf("%s: StoreUnresponsive is %v", when, got)
 			}
 			if got := v.StoreOutage(time.Now()); got != away {
-				t.Errorf("%s: away %v", when, got)
+				t.Errorf("%s: StoreOutage is %v", when, got)
 			}
 		}
-		want("calm", false, false)
+		want("no fault", false, false)
 		own.setCut(true)
-		want("turned away", true, false)
+		want("daemon rejected", true, false)
 		p.store.setAway(true)
 		want("outage", true, true)
 		p.store.setAway(false)
 		own.setCut(false)
-		want("after both", false, false)
+		want("store reachable again", false, false)
 	})
 }
 
-// An upstream that the store turns away says so as soon as what it knows is too old,
-// not at the end of a poll: a daemon that is turned away as well has no other way.
+// An upstream that the store rejects answers as soon as its data becomes stale, not at the
+// end of a poll: a follower that the store rejects as well depends on changing to another
+// upstream in time.
 func TestStaleUpstreamEndsThePoll(t *testing.T) {
 	atOffsets(t, func(b *bubble, offset time.Duration) {
 		p := b.pair()
@@ -207,9 +209,9 @@
 	})
 }
 
-// A whole list that is not taken, because another daemon has told more since it was
-// asked for, gives no place in its sender's changes: what only others kept would never
-// be named as gone.
+// A whole list that is not applied, because newer data has arrived from another daemon since
+// it was requested, gives no position in its sender's changes. Otherwise, the removal of an
+// entry that only other daemons kept would never be reported.
 func TestListNotTakenGivesNoPlace(t *testing.T) {
 	inBubble(t, func(b *bubble) {
 		v := New(Options{Store: newFakeStore(), Decode: decodeVersion, Log: b.log, PropagationBound: leaveWithin, Heartbeat: heartbeat})
@@ -222,17 +224,17 @@
 		}
 		list("newer", 10, &kept)
 		if v.upstream.source != "newer" || !v.takes("kept") {
-			t.Fatal("the first list is not taken")
+			t.Fatal("the first list was not applied")
 		}
 		list("older", 5)
 		if v.upstream.source != "" {
-			t.Errorf("the next answer holds only what has changed at %s", v.upstream.source)
+			t.Errorf("the next answer would contain only changes since a position at %s", v.upstream.source)
 		}
 	})
 }
 
-// A daemon that takes from others has seen an outage as they have, and keeps what may
-// have lapsed in it, whoever tells it first that the store is back.
+// A follower detects an outage as its upstreams do, and keeps entries that may have lapsed in
+// it, whichever daemon first sends it the data of the returned store.
 func TestLapseIsWaitedForBehindAnUpstream(t *testing.T) {
 	atOffsets(t, func(b *bubble, offset time.Duration) {
 		p := b.pair()
@@ -243,11 +245,11 @@
 		p.store.setAway(false)
 		time.Sleep(retryMost + 500*time.Millisecond)
 		if !p.follower.takes("a") {
-			t.Errorf("offset %v: an entry that lapsed in an outage was dropped at once", offset)
+			t.Errorf("offset %v: an entry that lapsed during an outage was dropped at once", offset)
 		}
 		time.Sleep(2 * time.Second)
 		if p.follower.takes("a") || !p.follower.takes("b") {
-			t.Errorf("offset %v: the grace did not end", offset)
+			t.Errorf("offset %v: the entry was not dropped after the grace period", offset)
 		}
 	})
 }
--- a/driver/storeview/bound_test.go
+++ b/driver/storeview/bound_test.go
@@ -14,24 +14,25 @@
 	"github.com/doorvalve/doorvalve/state/fleet"
 )
 
-// boundRegressions are seeds that have failed once: each time, a daemon that had heard
-// neither the store nor anybody for seconds kept a removed entry at its return, and
-// daemons that take from it kept it as well.
+// boundRegressions are seeds of former failures: a daemon that had reached neither the store
+// nor any peer for seconds kept a removed entry when it was connected again, and its followers
+// kept it as well.
 var boundRegressions = []uint64{571, 1042, 1396, 1460}
 
-// More runs by hand: go test ./driver/storeview -run TestBoundHolds -bound.runs 2000
+// For more runs: go test ./driver/storeview -run TestBoundHolds -bound.runs 2000
 var (
-	boundRuns = flag.Uint64("bound.runs", 25, "random runs of TestBoundHoldsUnderRandomHarms")
-	boundSeed = flag.Uint64("bound.seed", 0, "seed of the first of them")
+	boundRuns = flag.Uint64("bound.runs", 25, "random runs of each of the random tests")
+	boundSeed = flag.Uint64("bound.seed", 0, "seed of the first random run")
 )
 
 const (
-	// calmBefore is how long a daemon's own way to the store must have been sound
-	// before a change for the bound to be asked of it.
+	// calmBefore is how long a daemon's own connection to the store must have been
+	// without fault before a change for the bound to apply to it.
 	calmBefore = 3 * time.Second
-	// boundMargin is kept to the bound: requests still go out on what is believed.
+	// boundMargin is the margin to the bound, in which requests are still sent according
+	// to an earlier view.
 	boundMargin = 100 * time.Millisecond
-	// fleetFollowers and fleetWatchers are the daemons of a random run.
+	// fleetWatchers and fleetFollowers are the numbers of daemons in a random run.
 	fleetWatchers  = 2
 	fleetFollowers = 2
 )
@@ -43,11 +44,11 @@
 	peer *upstream
 
 	mu      sync.Mutex
-	harms   int       // of its own way to the store, that go on
-	soundAt time.Time // when the last of them ended
+	harms   int       // present faults of its own connection to the store
+	soundAt time.Time // when the last of these faults ended
 }
 
-// begin notes a harm of the member's own way to the store.
+// begin records the start of a fault of the member's own connection to the store.
 func (m *member) begin() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -61,15 +62,15 @@
 	m.soundAt = time.Now()
 }
 
-// sound reports whether the bound is asked of the member for a change now.
+// healthy reports whether the bound applies to the member for a change made now.
 func (m *member) sound() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.harms == 0 && time.Since(m.soundAt) >= calmBefore
 }
 
-// harm does something to a member, for a while, that its way to the store or its
-// answers to others suffer from; own says that its own way does.
+// fault disturbs a member's connection to the store, if own is set, or its answers to
+// other daemons, for some time.
 type harm struct {
 	name    string
 	own     bool
@@ -77,10 +78,10 @@
 }
 
 var harms = []harm{
-	{"store turns it away", true, func(m *member) { m.way.setCut(true) }, func(m *member) { m.way.setCut(false) }},
+	{"store rejects it", true, func(m *member) { m.way.setCut(true) }, func(m *member) { m.way.setCut(false) }},
 	{"large answers hang", true, func(m *member) { m.way.setHung(true) }, func(m *member) { m.way.setHung(false) }},
-	{"frozen for others", false, func(m *member) { m.peer.setMute(true) }, func(m *member) { m.peer.setMute(false) }},
-	{"late for others", false, func(m *member) { m.peer.setLate(1100 * time.Millisecond) }, func(m *member) { m.peer.setLate(0) }},
+	{"frozen for peers", false, func(m *member) { m.peer.setMute(true) }, func(m *member) { m.peer.setMute(false) }},
+	{"late for peers", false, func(m *member) { m.peer.setLate(1100 * time.Millisecond) }, func(m *member) { m.peer.setLate(0) }},
 }
 
 func (u *upstream) setLate(late time.Duration) {
@@ -89,18 +90,18 @@
 	u.late = late
 }
 
-// randomFleet is some daemons and a store, with harms that come in series and overlap.
+// randomFleet is a store and several daemons, with random faults that may overlap.
 type randomFleet struct {
 	*bubble
 	seed    uint64
-	rng     *rand.Rand // of the changes
+	rng     *rand.Rand // source of the changes
 	store   *fakeStore
 	members []*member
 	version uint64
-	lives   bool // endpoints start again and entries are spoiled
+	lives   bool // endpoints also restart, and entries become unusable
 
 	mu  sync.Mutex
-	log []string // of the harms
+	log []string // of the faults
 }
 
 func newRandomFleet(b *bubble, seed uint64) *randomFleet {
@@ -120,8 +121,8 @@
 	return f
 }
 
-// harmSome harms members until the test ends, some of them for longer than the next
-// harms take to come.
+// injectFaults disturbs random members until the test ends. Faults may last longer than the
+// pause until the next one.
 func (f *randomFleet) harmSome() {
 	rng := rand.New(rand.NewPCG(f.seed, 1))
 	for f.ctx.Err() == nil {
@@ -149,22 +150,22 @@
 	f.log = append(f.log, line)
 }
 
-// lastHarms returns the harms that may explain what is seen now.
+// lastFaults returns the latest faults, which may explain a failure.
 func (f *randomFleet) lastHarms() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(f.log[max(0, len(f.log)-6):])
 }
 
-// testStart is when the clock of a bubble starts.
+// testStart is the initial time of a bubble's clock.
 var testStart = time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// sound returns the members of whom the bound is asked for a change now.
+// healthy returns the members to which the bound applies for a change made now.
 func (f *randomFleet) sound() []*member {
 	return slices.DeleteFunc(slices.Clone(f.members), func(m *member) bool { return !m.sound() })
 }
 
-// change writes a change and returns whether it is in force at a member.
+// change writes a change and returns a function that reports whether it is in force in a view.
 func (f *randomFleet) change(i int) (what string, inForce func(v *View) bool) {
 	id := fmt.Sprint("e", i)
 	if f.lives && f.rng.IntN(2) == 0 {
@@ -185,10 +186,11 @@
 	}
 }
 
-// firstLife and nextLife are the starts of endpoints under one id.
+// firstStart and nextStart are the starts of two incarnations of one endpoint.
 const firstLife, nextLife = 1000, 2000
 
-// endpoint returns an entry of an endpoint; platforms that know no lives tell no start.
+// endpoint returns the entry of an endpoint, without a start time if endpoints do not restart, as
+// on platforms that do not report it.
 func (f *randomFleet) endpoint(id string, born int64, leaving bool) fleet.Endpoint {
 	e := fleet.Endpoint{ID: id, Service: "llm", Leaving: leaving}
 	if f.lives {
@@ -197,26 +199,27 @@
 	return e
 }
 
-// changeLife starts an endpoint again under its id, or spoils its entry.
+// changeIncarnation restarts an endpoint under its id, or makes its entry unusable.
 func (f *randomFleet) changeLife(id string) (what string, inForce func(v *View) bool) {
 	if f.rng.IntN(2) == 0 {
 		f.store.spoil(id)
-		return id + " spoiled", func(v *View) bool { return !v.takes(id) }
+		return id + " unusable", func(v *View) bool { return !v.takes(id) }
 	}
 	f.store.setEndpoint(f.endpoint(id, firstLife, true))
 	f.store.setEndpoint(f.endpoint(id, nextLife, false))
 	if f.rng.IntN(2) == 0 {
-		f.store.setEndpoint(f.endpoint(id, firstLife, true)) // a write that was carried out late
+		f.store.setEndpoint(f.endpoint(id, firstLife, true)) // a delayed write
 		f.store.setEndpoint(f.endpoint(id, nextLife, false))
 	}
-	return id + " started again", func(v *View) bool {
+	return id + " restarted", func(v *View) bool {
 		e := v.Endpoints().ByID[id]
 		return e != nil && e.StartUnixMs == nextLife && !e.Leaving
 	}
 }
 
-// Whatever happens to the others, in series and overlapping, a daemon whose own way to
-// the store is sound has each change in force within the bound.
+// Guards against changes that are late because of faults of other daemons, also repeated and
+// overlapping ones: a daemon whose own connection to the store is without fault has each change
+// in force within the bound.
 func TestBoundHoldsUnderRandomHarms(t *testing.T) {
 	seeds := slices.Clone(boundRegressions)
 	for i := range *boundRuns {
@@ -227,8 +230,8 @@
 	}
 }
 
-// The same holds where endpoints start again under their ids, and other writers spoil
-// entries: the next life gets requests, and what is spoiled none.
+// The same bound holds if endpoints restart under their ids and other writers make entries
+// unusable: the new incarnation gets requests, and an unusable entry gets none.
 func TestBoundHoldsForLivesUnderRandomHarms(t *testing.T) {
 	for i := range *boundRuns {
 		checkBound(t, *boundSeed+i, true)
@@ -253,7 +256,7 @@
 			still := f.sound()
 			for _, m := range asked {
 				if slices.Contains(still, m) && !inForce(m.peer.view) {
-					t.Errorf("seed %d: %s has no %s, %v after the start; harms: %v", seed, m.name, what, time.Since(testStart), f.lastHarms())
+					t.Errorf("seed %d: %s is missing the change %q, %v after the start; faults: %v", seed, m.name, what, time.Since(testStart), f.lastHarms())
 					return
 				}
 			}
--- a/driver/storeview/desired.go
+++ b/driver/storeview/desired.go
@@ -17,21 +17,21 @@
 const maxDesiredBytes = 8 << 20
 
 // desiredContent is a desired state as the operator wrote it, and as it is sent to
-// other daemons: packed, since routes and models repeat the names of a few fields.
-// What a link of 10 Mbit/s takes half a second for would else not reach several
-// daemons in time.
+// other daemons: compressed, since routes and models repeat the names of a few fields.
+// A state that takes a link of 10 Mbit/s half a second to transfer would otherwise not
+// reach several daemons in time.
 type desiredContent struct {
 	raw    []byte
 	once   sync.Once
 	packed []byte
 }
 
-// pack returns the content as it is sent. It is safe for concurrent use.
+// pack returns the compressed content. It is safe for concurrent use.
 func (c *desiredContent) pack() []byte {
 	c.once.Do(func() {
 		var b bytes.Buffer
-		w, _ := gzip.NewWriterLevel(&b, gzip.BestSpeed) // a level that exists
-		_, _ = w.Write(c.raw)                           // a buffer takes all
+		w, _ := gzip.NewWriterLevel(&b, gzip.BestSpeed) // the level is valid
+		_, _ = w.Write(c.raw)                           // writing to a buffer never fails
 		_ = w.Close()
 		c.packed = b.Bytes()
 	})
@@ -40,7 +40,7 @@
 
 var errDesiredTooLarge = errors.New("larger than any object of the store")
 
-// unpack returns the content that another daemon has sent.
+// unpack decompresses content that another daemon has sent.
 func unpack(packed []byte) ([]byte, error) {
 	r, err := gzip.NewReader(bytes.NewReader(packed))
 	if err != nil {
@@ -56,9 +56,9 @@
 	return raw, nil
 }
 
-// RunCatchUp brings desired states into force that an upstream has named and that
-// are too large for its answers, until ctx ends. It runs beside the polls: what is
-// believed of the endpoints does not wait for a large transfer.
+// RunCatchUp fetches desired states that an upstream has announced but that are too
+// large for its answers, until ctx ends. It runs concurrently with the polls, so that
+// updates of the endpoints do not wait for a large transfer.
 func (v *View) RunCatchUp(ctx context.Context) error {
 	for {
 		select {
@@ -81,7 +81,7 @@
 	return v.upstream.version > v.version()
 }
 
-// version returns the version of the desired state in force, 0 for none.
+// desiredVersion returns the version of the desired state in force, 0 for none.
 func (v *View) version() uint64 {
 	if t := v.table.Load(); t != nil {
 		return t.Version
@@ -89,14 +89,14 @@
 	return 0
 }
 
-// catchUp reads a desired state from the store, or takes it from the upstream where
-// the store does not answer.
+// catchUp reads a desired state from the store, or requests it from the upstream if the
+// store does not answer or has an older one.
 func (v *View) catchUp(ctx context.Context) error {
 	err := v.readDesired(ctx)
 	if err == nil && !v.behind() {
 		return nil
 	}
-	v.opt.Log.Debug("desired state taken from the upstream", "store_error", err)
+	v.opt.Log.Debug("requesting the desired state from the upstream", "store_error", err)
 	v.mu.Lock()
 	from := v.upstream.peer
 	v.mu.Unlock()
@@ -104,8 +104,8 @@
 	return err
 }
 
-// readDesired reads the desired state from the store. Reads at the same time are
-// one: it is the largest answer there is.
+// readDesired reads the desired state from the store. Concurrent reads share one
+// call, since this is the store's largest answer.
 func (v *View) readDesired(ctx context.Context) error {
 	_, err, _ := v.reads.Do("", func() (any, error) {
 		asked := v.opt.Clock()
@@ -120,7 +120,7 @@
 		if raw == nil && v.Table() == nil {
 			pause.For(ctx, emptyRetry)
 		}
-		_ = v.adoptDesired(raw, "store", stored) // the last good one stays in force
+		_ = v.adoptDesired(raw, "store", stored) // after an error, the previous state stays in force
 		v.mu.Lock()
 		defer v.mu.Unlock()
 		v.config.Listed(asked, v.opt.Clock(), stored)
@@ -140,7 +140,7 @@
 	if err != nil {
 		return err
 	}
-	_ = v.adoptDesired(raw, "store", stored) // the last good one stays in force
+	_ = v.adoptDesired(raw, "store", stored) // after an error, the previous state stays in force
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.config.Watched(asked, v.opt.Clock(), wait, stored, raw != nil)
--- a/driver/storeview/follow.go
+++ b/driver/storeview/follow.go
@@ -13,36 +13,37 @@
 )
 
 const (
-	// gatherPart, watchPart and configPart are parts of the time in which a
-	// change must be in force. Changes of the endpoints gather for the first, so
-	// that those which come together cost one call; a watch of the endpoints
-	// waits for the second, one of the desired state for the third: a watch that
-	// has gone silent must be noticed before the platform expects this daemon to
-	// be up to date again.
+	// gatherShare, watchShare and desiredWatchShare are shares of the propagation
+	// bound. Changes of the endpoints gather for the first, so that changes which
+	// arrive together cost one call; a watch of the endpoints waits for the
+	// second, a watch of the desired state for the third: a watch that has become
+	// unresponsive must be detected before the platform expects this daemon to be
+	// up to date again.
 	gatherPart = 0.2
 	watchPart  = 0.3
 	configPart = 0.6
-	// watchMost and configMost bound the waits where that time is long: the
-	// platform's windows do not grow with it.
+	// maxWatch and maxDesiredWatch bound these waits if the propagation bound is
+	// long: the platform's windows do not grow with it.
 	watchMost  = 900 * time.Millisecond
 	configMost = 1500 * time.Millisecond
-	// refreshPart and watchLeast shorten a watch after one that brought changes,
-	// of which only the question's time is known: it ends before what is known is
-	// older than the first, and waits for the second at least. Daemons that take
-	// from this one would leave it at stalePart.
+	// refreshShare and minWatchShare shorten a watch that follows one with
+	// changes, whose answer is only known to be as new as its request: it ends
+	// before the local data is older than the first, and waits for the second at
+	// least. At staleShare, followers of this daemon would change to another
+	// upstream.
 	refreshPart = 0.55
 	watchLeast  = 0.1
-	// watchSlack is how much later than its end a watch may begin to be answered
-	// by a slow store before it counts as dead.
+	// watchSlack is how long after its end a slow store may begin to answer a
+	// watch before the watch counts as failed.
 	watchSlack = 600 * time.Millisecond
-	// retryFirst is the pause after a failed call; it doubles up to retryMost
-	// with each further one, since failed calls are priced as well.
+	// minRetry is the pause after a failed call; it doubles up to maxRetry with
+	// each further failure, since failed calls are charged as well.
 	retryFirst = 250 * time.Millisecond
 	retryMost  = time.Second
-	// emptyRetry is the pause while there is no desired state yet.
+	// emptyRetry is the pause between reads while there is no desired state yet.
 	emptyRetry = 200 * time.Millisecond
-	// lateAnswer is how much later than asked for an answer is logged as late:
-	// many times the way to the store or to another daemon and back.
+	// lateAnswer is the delay after which an answer is logged as late: many times
+	// the round-trip time to the store or to another daemon.
 	lateAnswer = 300 * time.Millisecond
 )
 
@@ -56,7 +57,7 @@
 	return v.follow(ctx, v.endpoints, relay.Endpoints, v.listEndpoints, v.watchEndpoints)
 }
 
-// follow does what a follower asks for.
+// follow carries out the actions that a Follower returns.
 func (v *View) follow(ctx context.Context, f *discovery.Follower, kind relay.Kind, list, watch func(context.Context) error) error {
 	for ctx.Err() == nil {
 		if until, role := v.relayedUntil(f, kind); v.opt.Clock().Before(until) {
@@ -85,8 +86,8 @@
 	return nil
 }
 
-// beginWatch returns when a watch of a kind is asked for, how long it may wait and
-// the version that it starts from.
+// beginWatch returns the time at which a watch of a kind is requested, how long it may
+// wait and the version that it starts from.
 func (v *View) beginWatch(f *discovery.Follower, kind relay.Kind) (asked time.Time, wait time.Duration, since storeversion.Version) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -99,23 +100,23 @@
 	return asked, min(wait, max(left, v.part(watchLeast))), f.Since()
 }
 
-// logLate logs an answer that came long after it was due: what it tells may be as
-// much older.
+// logLate logs an answer that arrived long after it was due: its content may be older by
+// the same time.
 func (v *View) logLate(from string, kind relay.Kind, due time.Time, err error) {
 	if late := v.opt.Clock().Sub(due); late >= lateAnswer {
 		v.opt.Log.Info(decisions.EventLateAnswer, "from", from, "of", kind.String(), "late_ms", late.Milliseconds(), "error", err)
 	}
 }
 
-// relayedUntil returns until when a follower may rest, because this daemon
-// takes what it follows from another one, zero if it may not; and a channel that is
-// closed when its role changes before.
+// relayedUntil returns the time until which a Follower may be suspended because this
+// daemon receives the same data from another one, zero if it may not, and a channel that
+// is closed if this daemon becomes a watcher before.
 func (v *View) relayedUntil(f *discovery.Follower, kind relay.Kind) (until time.Time, role <-chan struct{}) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	now, until := v.opt.Clock(), v.source.FreshUntil(kind)
 	if until.IsZero() {
-		return v.directFrom, nil // nobody has told anything yet
+		return v.directFrom, nil // no peer has sent any data yet
 	}
 	if v.watches {
 		return time.Time{}, nil
@@ -130,7 +131,7 @@
 	return until, v.roleTaken
 }
 
-// settle records how a call ended and logs the loss and return of the store.
+// recordOutcome records the outcome of a call and logs the loss and return of the store.
 func (v *View) settle(f *discovery.Follower, kind relay.Kind, failing time.Time, err error) {
 	now := v.opt.Clock()
 	v.mu.Lock()
@@ -171,8 +172,9 @@
 	return nil
 }
 
-// noteOutage takes an answer of the store as of a version, also one that another daemon tells
-// of, before it changes what is known; the caller holds the mutex.
+// observeOutage updates the outage state for an answer of the store as of a version, received from
+// the store or through another daemon. It must be called before the answer is applied; the caller
+// holds the mutex.
 func (v *View) noteOutage(now time.Time, stored storeversion.Version) {
 	v.outage.ObserveAnswer(now, v.seen()[relay.Endpoints], v.endpoints.Failures())
 	if known := v.registry.Version(); known.Generation < stored.Generation && !known.Absent() {
@@ -180,12 +182,12 @@
 	}
 }
 
-// errOlderGeneration says that an answer was given by the store before it came back from a copy
-// that this daemon has heard of.
+// errOlderGeneration means that an answer dates from before a restore of the store that this daemon
+// already knows of.
 var errOlderGeneration = errors.New("the answer is of an older generation of the store")
 
-// heardStore takes the version that an answer of the store is as of, and returns why what the answer
-// tells cannot be used.
+// checkStoreVersion records the version of an answer of the store, and returns an error if the answer
+// is of an older generation than the highest known one and cannot be used.
 func (v *View) heardStore(stored storeversion.Version, of relay.Kind) error {
 	v.opt.Generations.Observe(stored.Generation, "store")
 	v.mu.Lock()
@@ -198,8 +200,8 @@
 	return nil
 }
 
-// continues returns why the answer to a watch from a version, as of another one, does not tell
-// all that has changed since.
+// checkContinuity returns an error if the answer to a watch that started from a version does not
+// contain all changes since then.
 func (v *View) continues(since, stored storeversion.Version, of relay.Kind) error {
 	if err := v.heardStore(stored, of); err != nil {
 		return err
@@ -230,11 +232,11 @@
 	return nil
 }
 
-// takeChanges brings what a watch has told into the registry, and returns the entries that
-// are kept though the store does not have them and those that are news as unusable; the
-// caller holds the mutex.
+// applyChanges applies the changes from a watch to the registry, and returns the entries that
+// are kept although the store no longer has them, and the entries that have newly become
+// unusable; the caller holds the mutex.
 func (v *View) takeChanges(now time.Time, changes []discovery.Change) (kept []string, fresh []discovery.Unusable) {
-	until := v.outage.GraceUntil() // a watch follows a list, which has ended an outage
+	until := v.outage.GraceUntil() // a watch follows a list, which ends an outage
 	for _, c := range changes {
 		switch {
 		case c.Removed:
@@ -250,8 +252,8 @@
 	return kept, fresh
 }
 
-// logKept logs entries that the store does not have and that are kept, because
-// they may only have lapsed while it was away.
+// logKept logs entries that are kept although the store no longer has them, because they may
+// only have lapsed during an outage of the store.
 func (v *View) logKept(ids []string) {
 	if len(ids) == 0 {
 		return
--- a/driver/storeview/incident_test.go
+++ b/driver/storeview/incident_test.go
@@ -8,16 +8,11 @@
 	"github.com/doorvalve/doorvalve/state/fleet"
 )
 
-// What was seen: requests reached an engine 84 ms, and in a run with logs 780 and 835
-// ms, after the time within which an engine that leaves must get no more requests.
-//
-// How it came about: the store turned away one of the daemons that others take from,
-// for 4.8 s. The engine's entry was removed 1.8 s before that daemon's next call was
-// answered; it kept the entry for 2 s more, and 25 daemons that take from it with it.
-//
-// Cause: calls of its own that failed were taken for an outage of the store, in which
-// entries lapse. Proved by the line on kept entries, whose end is the moment at which
-// these daemons dropped the engine, and by this test.
+// Guards against requests to a leaving engine after the time within which it must get no more
+// (84, 780 and 835 ms too late). The store had rejected one watcher for 4.8 s, and the engine's entry
+// was removed 1.8 s before that watcher's next call was answered. The watcher took its own failed
+// calls for an outage of the store, in which entries lapse: it kept the entry for 2 s more, and
+// so did its 25 followers.
 func TestReturnedUpstreamKeepsNothing(t *testing.T) {
 	atOffsets(t, func(b *bubble, offset time.Duration) {
 		s := newFakeStore()
@@ -37,14 +32,14 @@
 		own.setCut(false)
 		time.Sleep(leaveWithin - 200*time.Millisecond)
 		if returned.view.takes("a") || v.takes("a") {
-			t.Errorf("offset %v: an endpoint whose entry was removed still takes requests", offset)
+			t.Errorf("offset %v: an endpoint whose entry was removed still gets requests", offset)
 		}
 	})
 }
 
-// The same cause by another way: one watch that is not answered in time. It is given
-// up on, the list that follows has the entry no more, and 1.2 s, 0.25 s and a grace of
-// 2 s are more than the bound.
+// Guards against the same fault after a single watch that is not answered in time. The watch
+// times out and the list that follows lacks the entry: with a grace period, 1.2 s, 0.25 s and
+// 2 s add up to more than the bound.
 func TestRemovalIsTakenAfterAFailedWatch(t *testing.T) {
 	atOffsets(t, func(b *bubble, offset time.Duration) {
 		s := newFakeStore()
@@ -55,21 +50,17 @@
 		s.remove("a")
 		time.Sleep(leaveWithin - 200*time.Millisecond)
 		if v.takes("a") {
-			t.Errorf("offset %v: an endpoint whose entry was removed still takes requests", offset)
+			t.Errorf("offset %v: an endpoint whose entry was removed still gets requests", offset)
 		}
 	})
 }
 
-// What was seen: a daemon answered 404 on an added route 9 ms after the time within
-// which the desired state must be in force; in a run with logs, 18 daemons had it
-// 3.2 s after the first one.
-//
-// How it came about: these daemons took from one whose read of the desired state
-// did not come through a full link, while its watches of the endpoints were
-// answered. What they took counted as fresh, so none asked the store.
-//
-// Cause: the age of the endpoints stood for that of the desired state. Proved by
-// this test: with both upstreams in that state, a follower never gets it.
+// Guards against a desired state that is in force too late (9 ms after the bound at one daemon;
+// 3.2 s after the first daemon at 18 others), so that requests for an added route get a 404. The
+// daemons copied from an upstream whose read of the desired state did not get through a full link,
+// while its watches of the endpoints were answered. The age of the endpoints stood for the age of
+// the desired state as well, so the copy counted as fresh and no follower read the store: with both
+// upstreams in this condition, a follower never got the state.
 func TestDesiredStateHasAnAgeOfItsOwn(t *testing.T) {
 	atOffsets(t, func(b *bubble, offset time.Duration) {
 		p := b.pair()
--- a/driver/storeview/lives.go
+++ b/driver/storeview/lives.go
@@ -10,12 +10,12 @@
 	"github.com/doorvalve/doorvalve/state/storeversion"
 )
 
-// maxUnusable bounds the unusable entries that are remembered, so that any number of
-// them takes little memory; beyond it they are logged each time they are read.
+// maxUnusable bounds the remembered unusable entries, so that any number of them takes little
+// memory; further ones are logged each time they are read.
 const maxUnusable = 1024
 
-// takeUnusable takes entries that name no endpoint to use, as of a version of the store, and
-// returns those that are news. What was known under their ids is not used any more; the
+// recordUnusable records entries that describe no usable endpoint, as of a version of the
+// store, and returns the new ones. Earlier entries under their ids are no longer used; the
 // caller holds the mutex.
 func (v *View) takeUnusable(list []discovery.Unusable, stored storeversion.Version) (fresh []discovery.Unusable) {
 	for _, u := range list {
@@ -32,23 +32,23 @@
 	return fresh
 }
 
-// forgetUnusable drops the entries that a whole list does not name as unusable any more;
-// the caller holds the mutex.
+// pruneUnusable removes the entries that are not unusable in a whole list; the caller holds
+// the mutex.
 func (v *View) forgetUnusable(list []discovery.Unusable) {
 	maps.DeleteFunc(v.unusable, func(id string, _ storeversion.Version) bool {
 		return !slices.ContainsFunc(list, func(u discovery.Unusable) bool { return u.ID == id })
 	})
 }
 
-// Unusable returns the number of entries that this daemon has read in the store and
-// that name no endpoint to use. Daemons that take from others read none.
+// UnusableCount returns the number of entries that this daemon has read from the store and
+// that describe no usable endpoint. Followers read none.
 func (v *View) UnusableCount() int {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return len(v.unusable)
 }
 
-// loggedUnusable bounds the lines about unusable entries of one answer of the store.
+// maxLoggedUnusable bounds the log lines about unusable entries in one answer of the store.
 const loggedUnusable = 8
 
 func (v *View) logUnusable(list []discovery.Unusable) {
@@ -57,8 +57,8 @@
 	}
 }
 
-// logReborn logs the endpoints that have started again under their id: what was known
-// of the life before is dropped.
+// logRestarted logs the endpoints that have started again under the same id. Nothing is kept
+// of the earlier incarnation.
 func (v *View) logReborn(old, next *fleet.View, from string) {
 	for id, e := range next.ByID {
 		o := old.ByID[id]
--- a/driver/storeview/peers.go
+++ b/driver/storeview/peers.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	// graceTick is how often entries in their grace are looked at.
+	// graceCheckInterval is the interval at which entries in their grace period are checked.
 	graceTick = 100 * time.Millisecond
-	// peersAfter is how long the store must be silent before peers are asked,
-	// and the pause between two questions.
+	// peerFallbackDelay is how long calls to the store must have failed before
+	// peers are polled, and the pause between two polls.
 	peersAfter = 600 * time.Millisecond
 )
 
-// RunPeers drops entries whose grace is over, and asks other daemons while the store is silent or
-// names an older desired state than they know, until ctx ends.
+// RunPeers drops entries whose grace period has ended, and polls other daemons while the store does
+// not answer or has an older desired state than they have, until ctx ends.
 func (v *View) RunPeers(ctx context.Context) error {
 	asked := v.opt.Clock()
 	for ctx.Err() == nil {
@@ -35,12 +35,13 @@
 		if !ask || peer == nil {
 			continue
 		}
-		_, _ = v.poll(ctx, peer, 0, peerTimeout) // logs its failure; another peer is next
+		_, _ = v.poll(ctx, peer, 0, peerTimeout) // logs its failure; the next poll goes to another peer
 	}
 	return nil
 }
 
-// confirmRevived asks for a whole list once dead entries that a restored store names have lapsed.
+// relistAfterRestore requests a whole list once entries that a restored store may list for stopped
+// endpoints must have lapsed.
 func (v *View) confirmRevived() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -50,7 +51,8 @@
 	}
 }
 
-// peersPause is short while the registry waits for something to end, so that it does in time.
+// peerCheckPause returns the pause between two rounds of RunPeers. It is short while the registry holds
+// entries with a grace period, so that they are dropped in time.
 func (v *View) peersPause() time.Duration {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/driver/storeview/proof.go
+++ b/driver/storeview/proof.go
@@ -7,16 +7,16 @@
 	"github.com/doorvalve/doorvalve/coordination/relay"
 )
 
-// proof is up to when it is certain that no desired state was confirmed which this daemon does not
-// have. A store that has come back from a copy may lack what it has confirmed, until the operator has
-// written it again; so what it says proves nothing before.
+// proof tracks the time up to which the store certainly had confirmed no newer desired state than this
+// daemon has. A store that was restored from a copy may have lost confirmed states until the operator has
+// written them again, so its answers prove nothing until then.
 type proof struct {
-	generation uint64    // of the store, as heard last
-	until      time.Time // what the restored store says proves nothing before
-	frozen     time.Time // proven before the restore
+	generation uint64    // of the store, the highest received
+	until      time.Time // lost states are written again by then; answers prove nothing before
+	frozen     time.Time // time proven before the restore, valid until then
 }
 
-// heardGeneration takes a generation of the store that an answer names; the caller holds the mutex.
+// observeGeneration records the generation of the store in an answer; the caller holds the mutex.
 func (v *View) heardGeneration(now time.Time, generation uint64) {
 	if generation <= v.proof.generation {
 		return
@@ -27,7 +27,8 @@
 	v.proof.generation = generation
 }
 
-// provenAt returns the time up to which the desired state is proven; the caller holds the mutex.
+// provenAt returns the time up to which the desired state in force was certainly the newest; the caller
+// holds the mutex.
 func (v *View) provenAt(now time.Time) time.Time {
 	if now.Before(v.proof.until) {
 		return v.proof.frozen
@@ -35,8 +36,8 @@
 	return v.seen()[relay.DesiredState]
 }
 
-// ProvenAge returns up to how long ago it is certain that the desired state in force was the newest;
-// maxAge before the first word.
+// StalenessBound returns the time since the desired state in force was last certain to be the newest;
+// maxAge before any data has been received.
 func (v *View) StalenessBound() time.Duration {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/driver/storeview/relay.go
+++ b/driver/storeview/relay.go
@@ -14,49 +14,50 @@
 )
 
 const (
-	// stalePart and pollPart are parts of the time in which a change must be in
-	// force. What was heard through another daemon is good for the first: longer
-	// than a watcher takes to hear from the store again (refreshPart), with time
-	// left to ask the store. An upstream answers within the second, also when it
-	// has heard nothing.
+	// staleShare and pollShare are shares of the propagation bound. Data received
+	// through another daemon counts as fresh for the first: longer than a watcher
+	// takes to receive the store's next answer (refreshShare), with time left to
+	// read the store. An upstream answers within the second, also when it has no
+	// update.
 	stalePart = 0.7
 	pollPart  = 0.6
 	// maxPoll bounds the wait of a poll: with pollSlack, it must be over before
 	// a call between daemons times out.
 	maxPoll = 1500 * time.Millisecond
 	// pollSlack is how much later an upstream may answer before it counts as
-	// gone: the time that a link of 10 Mbit/s takes for a whole list to each of
-	// some ten daemons.
+	// unreachable: the time that a link of 10 Mbit/s needs to transfer a whole
+	// list to each of some ten daemons.
 	pollSlack = 400 * time.Millisecond
-	// pollRetry is the pause after an upstream that did not answer or is behind.
+	// pollRetry is the pause after a poll of an upstream that did not answer or whose
+	// data is stale.
 	pollRetry = 100 * time.Millisecond
-	// rolePause is the pause before a daemon that follows the store looks again
-	// whether it still should.
+	// roleCheckInterval is the interval at which a watcher checks whether it still
+	// is to be one.
 	rolePause = 500 * time.Millisecond
-	// startGrace is how long a daemon that has just started waits for others to
-	// tell it what the store says: they are a join and a poll away. It looks
-	// for them each startPause.
+	// startGrace is how long a daemon that has just started waits to receive the
+	// store's data from others, which takes a join and a poll. It looks for them
+	// each startCheckInterval.
 	startGrace = 150 * time.Millisecond
 	startPause = 20 * time.Millisecond
-	// peerTimeout bounds a question that does not wait.
+	// peerTimeout bounds a poll that does not wait for updates.
 	peerTimeout = time.Second
 )
 
-// upstreamState is what is known of the daemon that this one takes from.
+// upstreamState describes the daemon that this one copies from.
 type upstreamState struct {
-	peer fleetpb.Fleet // that answered last
-	// source and change are how far its changes have been read.
+	peer fleetpb.Fleet // that sent the last answer
+	// source and change are the position up to which its changes have been read.
 	source string
 	change uint64
-	heard  uint64 // how often it had heard from the store by its last answer
-	// version is of the desired state in force there.
+	heard  uint64 // its count of freshness updates in its last answer
+	// version is the version of the desired state in force there.
 	version uint64
 }
 
-// RunRelay takes from upstreams what the store says, unless this daemon follows
-// it itself, until ctx ends.
+// RunRelay copies the store's data from upstreams, unless this daemon is a watcher,
+// until ctx ends.
 func (v *View) RunRelay(ctx context.Context) error {
-	failing := false // the last upstream, which has been logged
+	failing := false // the last poll failed, and this has been logged
 	for ctx.Err() == nil {
 		watches, order := v.opt.Upstreams()
 		v.setRole(watches)
@@ -85,8 +86,8 @@
 	return nil
 }
 
-// lookAgain returns the pause before a daemon that follows the store looks
-// again whether it still should.
+// roleCheckPause returns the pause before a watcher checks again whether it still is
+// to be one.
 func (v *View) lookAgain() time.Duration {
 	if v.opt.Clock().Before(v.directFrom) {
 		return startPause
@@ -94,9 +95,9 @@
 	return rolePause
 }
 
-// setRole logs whether this daemon follows the store itself. One that begins to
-// asks the store at once, not when what it has heard gets old: others may begin to
-// take from it.
+// setRole records and logs whether this daemon is a watcher. A daemon that becomes a
+// watcher reads the store at once, not when its copied data becomes stale, since others
+// may begin to copy from it.
 func (v *View) setRole(watches bool) {
 	v.mu.Lock()
 	changed := watches != v.watches
@@ -111,8 +112,8 @@
 	}
 }
 
-// poll takes what is newer from another daemon, and returns how old it is. One that
-// waits need not be told again of a desired state that this daemon is reading.
+// poll requests updates from another daemon, and returns the age of its data. A poll that
+// waits does not ask again for a desired state that this daemon is already fetching.
 func (v *View) poll(ctx context.Context, peer fleetpb.Fleet, wait, timeout time.Duration) (age time.Duration, err error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -130,10 +131,10 @@
 	resp, err := peer.Follow(ctx, req)
 	if err != nil {
 		v.logLate("peer", relay.Endpoints, asked.Add(wait), err)
-		v.opt.Log.Debug("peer did not answer", "error", err)
+		v.opt.Log.Debug("poll of a peer failed", "error", err)
 		return 0, err
 	}
-	made := asked.Add(milliseconds(resp.HeldMs)) // or later: the way there is not counted
+	made := asked.Add(milliseconds(resp.HeldMs)) // or later, since the transfer of the request is not included
 	v.logLate("peer", relay.Endpoints, made, nil)
 	seen := relay.Freshness{relay.Endpoints: asOf(made, resp.AgeMs), relay.DesiredState: asOf(made, resp.ConfigAgeMs)}
 	return seen.Age(v.opt.Clock(), maxAge), v.take(peer, resp, seen)
@@ -141,8 +142,8 @@
 
 func milliseconds(ms int64) time.Duration { return time.Duration(ms) * time.Millisecond }
 
-// asOf returns up to when something is known that was so old when it was told; zero
-// where it is not known. Ages that are told are above zero.
+// asOf returns the time up to which data is complete that had an age when it was sent;
+// zero if the age is unknown. Known ages are sent as values above zero.
 func asOf(told time.Time, ageMs int64) time.Time {
 	if ageMs <= 0 {
 		return time.Time{}
@@ -150,7 +151,7 @@
 	return told.Add(-milliseconds(ageMs))
 }
 
-// take adopts what another daemon has told.
+// receive applies an answer from another daemon.
 func (v *View) take(peer fleetpb.Fleet, resp *fleetpb.FollowResponse, seen relay.Freshness) error {
 	if len(resp.PackedConfig) > 0 {
 		raw, err := unpack(resp.PackedConfig)
@@ -168,16 +169,16 @@
 	return nil
 }
 
-// toldVersion returns the version of the store that another daemon's endpoints are as of.
+// peerVersion returns the version of the store that another daemon's endpoints are based on.
 func toldVersion(resp *fleetpb.FollowResponse) storeversion.Version {
 	return storeversion.Version{Generation: resp.Generation, Revision: resp.EndpointsRevision}
 }
 
-// errPeerBehind says that another daemon has not heard yet that the store has come back from a copy.
-var errPeerBehind = errors.New("the daemon knows an older generation of the store only")
+// errPeerBehind means that another daemon has not yet noticed a restore of the store from a copy.
+var errPeerBehind = errors.New("the peer only has data of an older generation of the store")
 
-// heardPeer takes what another daemon has heard of the store's generation, and returns why its
-// endpoints cannot be used: they are of an older one than those known here.
+// checkPeerVersion records the store's generation as received from another daemon, and returns an
+// error if its endpoints are of an older generation than the local ones and cannot be used.
 func (v *View) heardPeer(resp *fleetpb.FollowResponse) error {
 	told := toldVersion(resp)
 	heard := max(told.Generation, resp.HighestGeneration)
@@ -193,8 +194,8 @@
 	return nil
 }
 
-// takeFrom adopts another daemon's endpoints and the place in its changes; the caller holds
-// the mutex.
+// receiveEndpoints applies another daemon's endpoints and records the position in its changes; the
+// caller holds the mutex.
 func (v *View) takeFrom(now time.Time, peer fleetpb.Fleet, resp *fleetpb.FollowResponse, seen relay.Freshness) (kept []string) {
 	if now.Sub(seen[relay.Endpoints]) < v.part(stalePart) {
 		v.noteOutage(now, toldVersion(resp))
@@ -202,23 +203,24 @@
 	kept, whole := v.takeEndpoints(now, resp)
 	v.upstream = upstreamState{peer: peer, source: resp.Source, change: resp.Change, heard: resp.Heard, version: resp.ConfigVersion}
 	if resp.Whole && !whole {
-		// Without a place in the changes there, the next answer is a list again: an
-		// entry that only others kept is else never named as gone.
+		// Without a position in the changes there, the next answer is a list again.
+		// Otherwise, the removal of an entry that only other daemons kept would
+		// never be reported.
 		v.upstream.source = ""
 	}
 	taken := seen
 	if v.version() < resp.ConfigVersion {
-		taken[relay.DesiredState] = time.Time{} // known by its version only
+		taken[relay.DesiredState] = time.Time{} // only its version has been received
 		v.catchUpSoon()
 	}
 	v.source.Receive(now, seen, taken)
 	return kept
 }
 
-// takeEndpoints adopts another daemon's endpoints, the caller holds the mutex. What
-// that one keeps though the store does not have it is missing here as well. It returns
-// the ids that are kept here, and whether a whole list was taken: not if another daemon
-// has told more since it was asked for.
+// applyEndpoints applies another daemon's endpoints; the caller holds the mutex. Entries that
+// it keeps although the store no longer has them count as missing here as well. It returns the
+// ids that are kept here, and whether a whole list was applied: it is not if newer data has
+// arrived from another daemon since it was requested.
 func (v *View) takeEndpoints(now time.Time, resp *fleetpb.FollowResponse) (kept []string, whole bool) {
 	list, gone, until, told := fromWire(resp.Endpoints), resp.Gone, v.outage.GraceUntil(), toldVersion(resp)
 	present := list[:0]
@@ -242,5 +244,5 @@
 	return kept, false
 }
 
-// catchUpSoon wakes RunCatchUp.
+// wakeCatchUp wakes RunCatchUp.
 func (v *View) catchUpSoon() { wake.Once(v.named) }
--- a/driver/storeview/restore_test.go
+++ b/driver/storeview/restore_test.go
@@ -15,17 +15,19 @@
 )
 
 const (
-	// writtenAgain is how long after the store's return all that is alive has written itself again.
+	// writtenAgain is the time after the store's return within which all live endpoints have written
+	// their entries again.
 	writtenAgain = 2 * time.Second
-	// lapsed is how long after its return the store has dropped the entries of what is dead.
+	// lapsed is the time after its return within which the store has dropped the entries of stopped
+	// endpoints.
 	lapsed = 3*heartbeat + time.Second
 )
 
-// restoring is a random fleet whose store comes back from copies.
+// restoring is a random fleet whose store is restored from copies.
 type restoring struct {
 	*randomFleet
-	born   map[string]int64 // of the endpoints that are alive and stay
-	ended  map[string]int64 // life that left or was removed last
+	born   map[string]int64 // start times of the endpoints that are live and not leaving
+	ended  map[string]int64 // start time of the incarnation that left or was removed last
 	copies []storeCopy
 }
 
@@ -33,8 +35,9 @@
 	r.store.setEndpoint(fleet.Endpoint{ID: id, StartUnixMs: r.born[id], Service: "llm", Leaving: leaving})
 }
 
-// restore takes the store away for a moment and brings it back from a copy. Who is alive writes
-// itself again, the operator the desired state, and the entries of who is not lapse.
+// restore makes the store unreachable for a moment and restores it from a copy. Then live endpoints
+// write their entries again, the operator writes the desired state again, and the entries of stopped
+// endpoints lapse.
 func (r *restoring) restore() {
 	c := r.copies[max(0, len(r.copies)-1-r.rng.IntN(4))]
 	r.note(fmt.Sprintf("%v restored to revision %d", time.Since(testStart), c.revision))
@@ -70,7 +73,7 @@
 	}
 }
 
-// change ends one endpoint, or begins one, or writes a desired state.
+// change stops an endpoint, starts one, or writes a desired state.
 func (r *restoring) change() (what string, inForce func(v *View) bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -85,7 +88,7 @@
 	case !alive:
 		r.born[id] = r.ended[id] + 1000
 		r.write(id, false)
-		return id + " begins", func(v *View) bool { return v.takes(id) }
+		return id + " starts", func(v *View) bool { return v.takes(id) }
 	case r.rng.IntN(2) == 0:
 		r.write(id, true)
 	default:
@@ -93,10 +96,10 @@
 	}
 	delete(r.born, id)
 	r.ended[id] = born
-	return id + " ends", func(v *View) bool { return !v.takes(id) }
+	return id + " stops", func(v *View) bool { return !v.takes(id) }
 }
 
-// watchEnded reports a view that takes a life again that it had known and seen end.
+// checkStopped reports a view that lists an incarnation as usable again after it had removed it.
 func (r *restoring) watchEnded(t *testing.T, m *member) {
 	known, ended := map[string]int64{}, map[string]int64{}
 	for r.ctx.Err() == nil {
@@ -108,7 +111,7 @@
 			case e == nil || e.Leaving || e.StartUnixMs > born:
 				ended[id] = max(ended[id], min(born, known[id]))
 			case ended[id] >= e.StartUnixMs:
-				t.Errorf("seed %d: %s takes %s again, which had ended, %v after the start", r.seed, m.name, id, time.Since(testStart))
+				t.Errorf("seed %d: %s again uses %s, which had stopped, %v after the start", r.seed, m.name, id, time.Since(testStart))
 				ended[id] = 0
 			}
 		}
@@ -120,9 +123,10 @@
 	}
 }
 
-// Guards against a view that does not follow a store that comes back from copies, any number of
-// times, beside all other harms: each change made after all is written again is in force within the
-// bound at each daemon whose way to the store is sound, and no life that ended comes back.
+// Guards against a view that does not follow a store that is restored from copies, repeatedly and
+// together with all other faults. Each change made after all entries are written again is in force
+// within the bound at each daemon whose connection to the store is without fault, and no stopped
+// incarnation becomes usable again.
 func TestBoundHoldsThroughRestores(t *testing.T) {
 	for i := range *boundRuns {
 		checkBoundThroughRestores(t, *boundSeed+i)
@@ -156,7 +160,7 @@
 			still := r.sound()
 			for _, m := range asked {
 				if slices.Contains(still, m) && !inForce(m.peer.view) {
-					t.Errorf("seed %d: %s has no %s, %v after the start; harms: %v", seed, m.name, what, time.Since(testStart), r.lastHarms())
+					t.Errorf("seed %d: %s is missing the change %q, %v after the start; faults: %v", seed, m.name, what, time.Since(testStart), r.lastHarms())
 					return
 				}
 			}
@@ -164,7 +168,8 @@
 	})
 }
 
-// manyDaemons returns running views of daemons that choose their roles as real ones do.
+// manyDaemons returns running views of n daemons, which choose their roles in the same way as real
+// daemons.
 func (b *bubble) manyDaemons(s *fakeStore, n int) []*View {
 	var members []membership.Member
 	for i := range n {
@@ -176,7 +181,7 @@
 	}
 	var views []*View
 	for _, m := range members {
-		peers[m.ID].mute = true // until all have begun
+		peers[m.ID].mute = true // until all are running
 	}
 	for i, m := range members {
 		watches, order := relay.Upstreams(m, members)
@@ -198,8 +203,9 @@
 	return views
 }
 
-// Guards against daemons that stay behind a restored store, or all ask it at its return: whatever
-// their number, a word said right after it is in force at all of them within the bound.
+// Guards against daemons that do not catch up with a restored store, or that all call it at once at
+// its return: for any number of daemons, a change written right after the restore is in force at all
+// of them within the bound.
 func TestRestoreReachesAllDaemons(t *testing.T) {
 	for _, n := range []int{3, 7, 24, 375} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
@@ -237,7 +243,7 @@
 				}
 				for i, v := range views {
 					if v.takes("new") {
-						t.Errorf("daemon %d keeps what the copy lacks and nobody has written again", i)
+						t.Errorf("daemon %d keeps an entry that the copy lacks and that was not written again", i)
 						return
 					}
 				}
@@ -247,7 +253,7 @@
 	}
 }
 
-// An answer that was given before the restore, and comes after it, changes nothing.
+// An answer that the store gave before a restore, and that arrives after it, changes nothing.
 func TestAnswerOfBeforeTheRestoreIsSetAside(t *testing.T) {
 	inBubble(t, func(b *bubble) {
 		s := newFakeStore()
@@ -259,19 +265,19 @@
 		v.opt.Generations.Observe(4, "peer")
 		time.Sleep(3 * time.Second)
 		if got := v.Age(relay.Endpoints); got < age+2*time.Second {
-			t.Errorf("answers of an older generation keep the view young: %v, %v before", got, age)
+			t.Errorf("answers of an older generation refresh the view: its age is %v, and was %v before", got, age)
 		}
 		if !v.StoreUnresponsive(v.opt.Clock()) {
-			t.Error("the store counts as heard")
+			t.Error("the store does not count as unresponsive")
 		}
 		if !v.takes("a") {
-			t.Error("what is known is forgotten")
+			t.Error("a known endpoint was dropped")
 		}
 	})
 }
 
-// Guards against a desired state that goes back for the callers of a daemon that starts after the store
-// came back from a copy: it takes the newest that others know, before the operator has written again.
+// Guards against an older desired state at a daemon that starts after the store was restored from a
+// copy: it copies the newest state from other daemons, before the operator has written it again.
 func TestStartingDaemonTakesTheNewestDesiredState(t *testing.T) {
 	for _, size := range []int{0, large} {
 		inBubble(t, func(b *bubble) {
@@ -293,7 +299,7 @@
 				o.Upstreams = func() (bool, []fleetpb.Fleet) { return false, []fleetpb.Fleet{old, starting} }
 			})
 			time.Sleep(500 * time.Millisecond)
-			old.setMute(true) // the follower turns to the daemon that has just started
+			old.setMute(true) // the follower changes to the daemon that has just started
 			time.Sleep(2 * time.Second)
 			old.setMute(false)
 			time.Sleep(2 * time.Second)
@@ -307,8 +313,8 @@
 	}
 }
 
-// Guards against a word that is never heard: the store comes back from a copy between two watches, and
-// has reached the revision of the next one again by then.
+// Guards against a change that a watch never returns: the store is restored from a copy between two
+// watches, and has reached the next watch's start revision again by then.
 func TestWatchFromARevisionThatIsGivenOutAgain(t *testing.T) {
 	inBubble(t, func(b *bubble) {
 		s := newFakeStore()
@@ -318,7 +324,7 @@
 		time.Sleep(3 * time.Second)
 		c := s.copyNow()
 		s.setEndpoint(fleet.Endpoint{ID: "b", StartUnixMs: 1000, Service: "llm"})
-		time.Sleep(v.part(gatherPart) / 2) // after the watch that has brought it, before the next
+		time.Sleep(v.part(gatherPart) / 2) // after the watch that has returned it, before the next
 		s.restore(c)
 		s.setEndpoint(fleet.Endpoint{ID: "a", StartUnixMs: 1000, Service: "llm", Leaving: true})
 		for range 5 {
@@ -326,7 +332,7 @@
 		}
 		time.Sleep(leaveWithin - boundMargin)
 		if v.takes("a") || !v.takes("b") {
-			t.Errorf("a takes requests: %v, b: %v", v.takes("a"), v.takes("b"))
+			t.Errorf("a gets requests: %v, b gets requests: %v", v.takes("a"), v.takes("b"))
 		}
 	})
 }
--- a/driver/storeview/revoke_test.go
+++ b/driver/storeview/revoke_test.go
@@ -9,29 +9,31 @@
 	"github.com/doorvalve/doorvalve/internal/pause"
 )
 
-// revokeWithin is the bound on keys that were taken away beside leaveWithin, in the
-// proportion of the users' sheets.
+// revokeWithin is the bound on the use of revoked keys, in the same proportion to leaveWithin as
+// in the users' data sheets.
 const revokeWithin = leaveWithin * 5 / 3
 
-// The age that a daemon tells of its desired state is the proof that a key was not taken
-// away: whatever happens to it and the others, each version that the store had confirmed
-// longer ago is in force. And a daemon whose own way to the store is sound can give the
-// proof.
+// Guards against the use of revoked keys: StalenessBound of a desired state must prove that a key
+// was not revoked longer ago. Under any faults, each version that the store confirmed before the
+// bound is in force, and at a daemon whose own connection to the store is without fault the bound
+// stays below revokeWithin.
 func TestAgeProvesTheDesiredStateUnderRandomHarms(t *testing.T) {
 	for i := range *boundRuns {
 		checkProof(t, *boundSeed+i, false)
 	}
 }
 
-// Guards against keys that are taken though they were taken away before a restore: the store may have
-// lost the version that did, and names an older one as its newest until the operator has written again.
+// Guards against keys that are accepted although they were revoked before a restore: the store may have
+// lost the version that revoked them, and returns an older one as its newest until the operator has
+// written the lost one again.
 func TestAgeProvesTheDesiredStateThroughRestores(t *testing.T) {
 	for i := range *boundRuns {
 		checkProof(t, *boundSeed+i, true)
 	}
 }
 
-// restoreDesired restores the store to a version of before, and writes the newest one again in time.
+// restoreDesired restores the store to an earlier version, and writes the newest one again within
+// discovery.RestoreRewriteWindow.
 func (f *randomFleet) restoreDesired(c storeCopy) {
 	f.note(fmt.Sprintf("%v restored to version %d", time.Since(testStart), c.config))
 	f.store.setAway(true)
@@ -56,7 +58,7 @@
 		f := newRandomFleet(b, seed)
 		if seed%2 == 0 {
 			f.store.mu.Lock()
-			f.store.padding = large // named first, and fetched afterwards
+			f.store.padding = large // announced first, and fetched afterwards
 			f.store.mu.Unlock()
 		}
 		time.Sleep(calmBefore + 2*time.Second)
@@ -77,14 +79,14 @@
 				time.Sleep(time.Duration(f.rng.IntN(400)) * time.Millisecond)
 				for _, m := range f.members {
 					sound := m.sound()
-					age := m.peer.view.StalenessBound() // before the table, as requests read them
+					age := m.peer.view.StalenessBound() // before the table, in the order in which requests read them
 					version := int(m.peer.view.Table().Version)
 					if version+1 < len(confirmed) && time.Since(confirmed[version+1]) > age {
-						t.Errorf("seed %d: %s has version %d and takes it for %v old, but the next was confirmed %v ago; harms: %v", seed, m.name, version, age, time.Since(confirmed[version+1]), f.lastHarms())
+						t.Errorf("seed %d: %s has version %d with a staleness bound of %v, but the next was confirmed %v ago; faults: %v", seed, m.name, version, age, time.Since(confirmed[version+1]), f.lastHarms())
 						return
 					}
 					if sound && !restores && age > revokeWithin {
-						t.Errorf("seed %d: %s hears the store and cannot show that its desired state is younger than %v; harms: %v", seed, m.name, age, f.lastHarms())
+						t.Errorf("seed %d: %s reaches the store, but its staleness bound is %v; faults: %v", seed, m.name, age, f.lastHarms())
 						return
 					}
 				}
--- a/driver/storeview/serve.go
+++ b/driver/storeview/serve.go
@@ -9,14 +9,14 @@
 	"github.com/doorvalve/doorvalve/state/storeversion"
 )
 
-// inlineConfig bounds the desired states that are sent to all followers, in packed
-// bytes: a link of 10 Mbit/s carries it to relay.followersPerWatcher daemons in 0.3 s.
-// Larger ones they read from the store themselves.
+// maxInlineDesired bounds the desired states that are sent to all followers, in compressed
+// bytes: a link of 10 Mbit/s carries such a state to relay.followersPerWatcher daemons in
+// 0.3 s. Followers read larger ones from the store themselves.
 const inlineConfig = 16 << 10
 
-// Follow answers another daemon's poll: at once if there is something newer
-// than it knows, otherwise when there is, when the store has answered again, when
-// what is known here gets too old to rely on, or when its wait is over.
+// Follow answers another daemon's poll: at once if there is an update for it, otherwise
+// when there is one, when the store has answered again, when the local data becomes
+// stale, or when the poll's wait is over.
 func (v *View) Follow(ctx context.Context, req *fleetpb.FollowRequest) (*fleetpb.FollowResponse, error) {
 	asked := v.opt.Clock()
 	v.noteAsked(req.ConfigVersion)
@@ -40,8 +40,8 @@
 	}
 }
 
-// noteAsked keeps the highest version of a desired state that others know: a restored store may name
-// an older one to a daemon that has just started.
+// recordPeerVersion keeps the highest desired state version that other daemons have reported: a restored
+// store may return an older one to a daemon that has just started.
 func (v *View) noteAsked(version uint64) {
 	for known := v.asked.Load(); known < version; known = v.asked.Load() {
 		if v.asked.CompareAndSwap(known, version) {
@@ -50,9 +50,9 @@
 	}
 }
 
-// freshFor returns for how long more what is known here is young enough to rely on, so
-// that a daemon which takes from this one leaves it then and not at the end of its
-// poll; maxAge if it is too old already, and nothing gets worse by the wait.
+// freshFor returns the time until the local data becomes stale, so that a follower of this
+// daemon changes to another upstream then and not at the end of its poll. It returns maxAge
+// if the data already is stale, as the wait then makes nothing worse.
 func (v *View) freshFor(now time.Time) time.Duration {
 	left := v.part(stalePart) - v.Freshness().Age(now, maxAge)
 	if left <= 0 {
@@ -61,16 +61,16 @@
 	return left
 }
 
-// news is what the caller of Follow does not know yet.
+// answer is the answer to a poll, with the updates that the polling daemon does not have yet.
 type news struct {
 	resp    *fleetpb.FollowResponse
 	delta   relay.Delta
 	desired *desiredContent // nil before the first
 	seen    relay.Freshness
-	told    <-chan struct{} // closed when there is more
+	told    <-chan struct{} // closed at the next update
 }
 
-// newer returns what the caller of Follow does not know yet.
+// newer returns an answer with the updates that the polling daemon does not have yet.
 func (v *View) newer(req *fleetpb.FollowRequest) *news {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -79,15 +79,16 @@
 	a.desired, a.seen, a.told = v.desired, v.seen(), v.told
 	a.delta = v.changes.Since(req.Change, req.Source == v.opt.Self, view)
 	if known := (storeversion.Version{Generation: req.Generation, Revision: req.EndpointsRevision}); a.delta.Whole && view.Version.Before(known) {
-		// The caller knows more. It gets a place in these changes only with a
-		// whole list, so that it keeps nothing that none of them names.
+		// The polling daemon has newer data. It gets a position in these changes
+		// only with a whole list, so that it keeps no entry whose removal none of
+		// the changes contains.
 		a.delta, a.resp.Source = relay.Delta{}, ""
 	}
 	return a
 }
 
-// attachDesired adds the desired state, if it is newer, and small or asked for
-// without a wait.
+// attachDesired adds the desired state if it is newer, and if it is small or the poll does
+// not wait.
 func (a *news) attachDesired(req *fleetpb.FollowRequest) {
 	if a.desired == nil || a.resp.ConfigVersion <= req.ConfigVersion {
 		return
@@ -97,15 +98,15 @@
 	}
 }
 
-// tellAges adds how old what is told is, rounded up, and how long the question
-// waited, rounded down: it is never taken for younger than it is.
+// setAges sets the ages of the data, rounded up, and the time that the poll waited, rounded
+// down, so that the receiver never underestimates the age.
 func (a *news) tellAges(asked, now time.Time) {
 	a.resp.AgeMs = ageMs(a.seen[relay.Endpoints], now)
 	a.resp.ConfigAgeMs = ageMs(a.seen[relay.DesiredState], now)
 	a.resp.HeldMs = now.Sub(asked).Milliseconds()
 }
 
-// ageMs returns an age in milliseconds, above zero, negative for unknown.
+// ageMs returns an age in milliseconds, above zero; negative if it is unknown.
 func ageMs(seen, now time.Time) int64 {
 	if seen.IsZero() {
 		return -1
--- a/driver/storeview/storeview.go
+++ b/driver/storeview/storeview.go
@@ -1,7 +1,7 @@
-// Package storeview follows the platform's store: the desired state and the
-// endpoints. It publishes both as immutable values. A few daemons follow the
-// store themselves, the others take both from them, and from the store when
-// what they heard is too old.
+// Package storeview keeps a daemon's local view of the platform's store: the
+// desired state and the endpoints. It publishes both as immutable values. A few
+// daemons, the watchers, follow the store themselves; the others are followers
+// that copy both from a watcher, and read the store when the copy is too old.
 package storeview
 
 import (
@@ -24,12 +24,13 @@
 	"github.com/doorvalve/doorvalve/state/storeversion"
 )
 
-// Store is the platform's store as far as it is followed.
+// Store is the part of the platform's store that a View follows.
 type Store interface {
 	ListEndpoints(ctx context.Context) (list []*fleet.Endpoint, version storeversion.Version, unusable []discovery.Unusable, err error)
 	ReadDesiredState(ctx context.Context) (raw []byte, version storeversion.Version, err error)
-	// The watches wait for a change, and for slack longer until their answer
-	// begins; what bounds its transfer is the size of the answer.
+	// The watches wait for a change for up to wait, and for up to slack longer
+	// until their answer begins; the transfer of the answer is bounded by its
+	// size, not by time.
 	WatchEndpoints(ctx context.Context, since storeversion.Version, wait, slack time.Duration) (changes []discovery.Change, version storeversion.Version, err error)
 	WatchDesiredState(ctx context.Context, since storeversion.Version, wait, slack time.Duration) (raw []byte, version storeversion.Version, err error)
 }
@@ -37,30 +38,32 @@
 // Options configure a View.
 type Options struct {
 	Store  Store
-	Decode func(raw []byte) (*routing.Table, error) // of a desired state
+	Decode func(raw []byte) (*routing.Table, error) // decodes a desired state
 	Log    *decisions.Log
-	// Self names this process to those that take from it.
+	// Self identifies this process to its followers.
 	Self string
-	// Peer returns any other daemon, or nil.
+	// Peer returns any other daemon, or nil if there is none.
 	Peer func() fleetpb.Fleet
-	// Upstreams reports whether this daemon follows the store itself, and
-	// returns whom it takes from otherwise, the best first.
+	// Upstreams reports whether this daemon is a watcher, and otherwise returns
+	// the daemons that it may copy from, the best first.
 	Upstreams func() (watches bool, order []fleetpb.Fleet)
-	// Within is the time in which a change in the store must be in force here: a
-	// leaving endpoint gets no more requests, a desired state is served by.
+	// PropagationBound is the time within which a change in the store must be in
+	// force here: a leaving endpoint gets no more requests, and requests are
+	// served by a new desired state.
 	PropagationBound time.Duration
 	// Heartbeat is the time between two heartbeats of an endpoint.
 	Heartbeat time.Duration
-	// Generations keeps the highest generation of the store; nil: the view's own.
+	// Generations tracks the highest generation of the store; nil: the view
+	// creates a tracker of its own.
 	Generations *generations.Tracker
-	// Metrics takes the counters; nil: nobody does.
+	// Metrics receives the counters; nil: they are discarded.
 	Metrics tally.Scope
-	// Clock goes on while the host is suspended, so that what was heard before is as old
-	// as it is; nil: the system's.
+	// Clock must advance while the host is suspended, so that the age of the view
+	// includes the suspension; nil: the system's clock.
 	Clock clock.Clock
 }
 
-// View is safe for concurrent use.
+// View is a daemon's local view of the store. It is safe for concurrent use.
 type View struct {
 	opt   Options
 	table atomic.Pointer[routing.Table]
@@ -73,25 +76,25 @@
 	config     *discovery.Follower
 	outage     *discovery.Outage
 	proof      proof
-	unusable   map[string]storeversion.Version // entries that name no endpoint to use, by id
-	directFrom time.Time                       // the store is asked from then on, at the latest
-	watches    bool                            // this daemon follows the store itself
+	unusable   map[string]storeversion.Version // entries that describe no usable endpoint, by id
+	directFrom time.Time                       // end of startGrace: the store is read from then on, at the latest
+	watches    bool                            // this daemon is a watcher
 	source     *relay.Source
 	upstream   upstreamState
-	changes    *relay.ChangeLog // of this daemon's view, for those that take from it
-	told       chan struct{}    // closed when there is something newer to tell
-	toldSeen   relay.Freshness  // when it was closed last
-	heard      uint64           // counts how often more was seen
-	roleTaken  chan struct{}    // closed when this daemon begins to follow the store itself
+	changes    *relay.ChangeLog // of this daemon's view, for its followers
+	told       chan struct{}    // closed when there is an update for followers
+	toldSeen   relay.Freshness  // freshness when updated was last closed
+	heard      uint64           // number of times that the freshness has increased
+	roleTaken  chan struct{}    // closed when this daemon becomes a watcher
 	onChange   []func()
 	setAside   tally.Counter
 
 	reads singleflight.Group // of the desired state
-	named chan struct{}      // holds one when an upstream has named a newer desired state
-	asked atomic.Uint64      // highest version of a desired state that those who take from this daemon know
+	named chan struct{}      // holds one element when an upstream has announced a newer desired state
+	asked atomic.Uint64      // highest desired state version reported by followers of this daemon
 }
 
-// New returns a view that knows nothing.
+// New returns an empty view.
 func New(opt Options) *View {
 	if opt.Clock == nil {
 		opt.Clock = clock.Now
@@ -115,7 +118,7 @@
 	return v
 }
 
-// part returns a part of the time in which a change must be in force.
+// shareOfBound returns a share of the propagation bound.
 func (v *View) part(p float64) time.Duration {
 	return time.Duration(p * float64(v.opt.PropagationBound))
 }
@@ -123,11 +126,11 @@
 // Table returns the desired state in force, nil before the first.
 func (v *View) Table() *routing.Table { return v.table.Load() }
 
-// Endpoints returns the present endpoints.
+// Endpoints returns the current endpoints.
 func (v *View) Endpoints() *fleet.View { return v.view.Load() }
 
-// OnChange adds a function that is called after either has changed. It must be
-// called before Run.
+// OnChange adds a function that is called after the desired state or the endpoints
+// have changed. It must be called before any of the Run methods.
 func (v *View) OnChange(f func()) { v.onChange = append(v.onChange, f) }
 
 func (v *View) changed() {
@@ -136,10 +139,10 @@
 	}
 }
 
-// adoptDesired brings a desired state into force. It logs the error that it
-// returns for one that cannot be read.
+// adoptDesired brings a desired state into force, unless it is not newer than the
+// one in force. It logs and returns the error if the state cannot be decoded.
 //
-// Invariant: the version in force never goes back.
+// Invariant: the version in force never decreases.
 func (v *View) adoptDesired(raw []byte, from string, stored storeversion.Version) error {
 	if raw == nil {
 		return nil
@@ -165,8 +168,8 @@
 	return nil
 }
 
-// logWorkspaces logs how many workspaces there are, where that has changed or operators
-// should know of keys that several share.
+// logWorkspaces logs the number of workspaces if it has changed, or if several workspaces
+// share keys, which operators should know.
 func (v *View) logWorkspaces(old, next *routing.Table) {
 	before := 0
 	if old != nil {
@@ -177,7 +180,7 @@
 	}
 }
 
-// EndpointLeaving takes an endpoint's own word that it leaves.
+// ObserveLeaving records that an endpoint itself has reported that it is leaving.
 func (v *View) ObserveLeaving(life fleet.Incarnation) {
 	v.mu.Lock()
 	v.registry.MarkLeaving(life)
@@ -185,7 +188,7 @@
 	v.publish("endpoint")
 }
 
-// tell wakes those that wait for something newer; the caller holds the mutex.
+// notify wakes the polls of followers that wait for an update; the caller holds the mutex.
 func (v *View) tell() {
 	if seen := v.seen(); seen.After(v.toldSeen) {
 		v.toldSeen = seen
@@ -196,11 +199,11 @@
 }
 
 // viewChange is a change of the view of the endpoints.
-type viewChange struct{ old, next *fleet.View } // the same where nothing changed
+type viewChange struct{ old, next *fleet.View } // identical if nothing changed
 
-// refresh makes what the registry knows the view; the caller holds the mutex. Whoever
-// takes what is newer into the registry does this before it lets go of the mutex: the
-// view is never older than what Seen tells.
+// refresh publishes the registry's endpoints as the view; the caller holds the mutex. It must
+// be called after each update of the registry before the mutex is released, so that the view
+// is never older than Freshness reports.
 func (v *View) refresh() viewChange {
 	v.registry.Expire(v.opt.Clock())
 	old := v.view.Load()
@@ -213,9 +216,9 @@
 	return viewChange{old, next}
 }
 
-// takeIn lets take bring what is newer into the registry, makes it visible, and tells
-// those that wait for it. take is called with the mutex held, and returns the entries
-// that are kept though the store does not have them.
+// update calls apply to change the registry, publishes the result and notifies the waiting
+// polls of followers. apply is called with the mutex held, and returns the ids of entries
+// that are kept although the store no longer has them.
 func (v *View) takeIn(from string, take func(now time.Time) (kept []string)) {
 	v.mu.Lock()
 	before := v.registry.Version()
@@ -233,7 +236,7 @@
 	v.announce(c, from)
 }
 
-// announce logs a change of the view and tells the rest of the daemon.
+// notifyChange logs a change of the view and calls the functions added by OnChange.
 func (v *View) announce(c viewChange, from string) {
 	if c.old == c.next {
 		return
@@ -243,7 +246,7 @@
 	v.changed()
 }
 
-// publish makes a changed view visible.
+// publish publishes the view if the registry has changed, as by the expiry of entries.
 func (v *View) publish(from string) {
 	v.mu.Lock()
 	c := v.refresh()
@@ -254,10 +257,10 @@
 	v.announce(c, from)
 }
 
-// loggedIDs bounds the endpoints that one line names.
+// maxLoggedIDs bounds the endpoints that one log line lists.
 const loggedIDs = 8
 
-// logSetAside logs what an answer told that was older than what is known.
+// logDiscarded counts and logs the parts of an answer that were discarded as stale.
 func (v *View) logSetAside(a discovery.Discarded, from string, known storeversion.Version) {
 	if a.Empty() {
 		return
@@ -267,13 +270,13 @@
 		"endpoints", a.Endpoints[:min(len(a.Endpoints), loggedIDs)], "others", max(0, len(a.Endpoints)-loggedIDs), "revision", known)
 }
 
-// noteSetAside counts and logs an answer that is set aside as a whole.
+// recordDiscarded counts and logs an answer that is discarded as a whole because it is stale.
 func (v *View) noteSetAside(from string, of relay.Kind, told, known storeversion.Version) {
 	v.setAside.Inc(1)
 	v.opt.Log.Info(decisions.EventStaleDiscarded, "from", from, "of", of.String(), "lists", 1, "told", told, "revision", known)
 }
 
-// logRestored logs that the endpoints were taken anew, of a later generation of the store.
+// logRestored logs that the endpoints were replaced by those of a later generation of the store.
 func (v *View) logRestored(before, known storeversion.Version, from string, c viewChange, kept []string) {
 	changed := 0
 	for id, e := range c.next.ByID {
--- a/driver/storeview/storeview_test.go
+++ b/driver/storeview/storeview_test.go
@@ -24,33 +24,33 @@
 	"github.com/doorvalve/doorvalve/transport/peers"
 )
 
-// fakeStore is a store in virtual time. Watches that are open when it goes
-// silent hear nothing any more; new calls are answered. It names no generation before it
-// is told to.
+// fakeStore is a store in virtual time. Watches that are open when hangWatches is called
+// are never answered; new calls are. Its generation is 0 until a test sets it or restores
+// the store.
 type fakeStore struct {
 	mu         sync.Mutex
 	generation uint64
 	revision   uint64
-	oldest     uint64 // watches from before have lost their history
+	oldest     uint64 // watches from an earlier revision have lost their history
 	config     uint64 // version of the desired state, as of configAt
 	configAt   uint64
 	list       []*fleet.Endpoint
 	unusable   []discovery.Unusable
 	changes    []discovery.Change
 	away       bool
-	silent     int           // watches of earlier numbers hear nothing
+	silent     int           // calls with lower numbers are never answered if they are watches
 	changed    chan struct{} // closed at the next change
 	calls      int
 	failed     int
-	padding    int  // bytes added to the desired state
-	plain      bool // they can be packed
+	padding    int  // number of bytes added to the desired state
+	plain      bool // the padding compresses well
 }
 
 func newFakeStore() *fakeStore {
 	return &fakeStore{revision: 1, config: 1, configAt: 1, changed: make(chan struct{})}
 }
 
-var errAway = errors.New("the store is away")
+var errAway = errors.New("the store is unreachable")
 
 func (s *fakeStore) call() (number int, err error) {
 	s.calls++
@@ -88,13 +88,13 @@
 	s.tell()
 }
 
-// drop takes an entry out; the caller holds the mutex.
+// drop deletes an entry; the caller holds the mutex.
 func (s *fakeStore) drop(id string) {
 	s.list = slices.DeleteFunc(s.list, func(o *fleet.Endpoint) bool { return o.ID == id })
 	s.unusable = slices.DeleteFunc(s.unusable, func(u discovery.Unusable) bool { return u.ID == id })
 }
 
-// spoil makes an entry name no endpoint to use, as by another writer.
+// corrupt makes an entry unusable, as another writer might.
 func (s *fakeStore) spoil(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -121,7 +121,7 @@
 	s.tell()
 }
 
-// goSilent silences the watches that are open now.
+// hangWatches keeps the watches that are open now from being answered.
 func (s *fakeStore) goSilent() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -136,7 +136,7 @@
 
 func encodeVersion(v uint64) []byte { return binary.BigEndian.AppendUint64(nil, v) }
 
-// large is the size of a desired state that polls do not carry.
+// large is the size of a desired state that answers to polls do not include.
 const large = inlineConfig + 1
 
 func decodeVersion(raw []byte) (*routing.Table, error) {
@@ -148,7 +148,7 @@
 	return storeversion.Version{Generation: s.generation, Revision: s.revision}
 }
 
-// storeCopy is what a fakeStore can be restored from.
+// storeCopy is a copy of a fakeStore's content, for a restore.
 type storeCopy struct {
 	revision, config, configAt uint64
 	list                       []*fleet.Endpoint
@@ -161,8 +161,8 @@
 	return storeCopy{s.revision, s.config, s.configAt, slices.Clone(s.list), slices.Clone(s.unusable)}
 }
 
-// restore brings the store back from a copy: what was acknowledged since is lost, and its
-// revisions are given out again.
+// restore restores the store from a copy: writes acknowledged since the copy are lost, and their
+// revisions are assigned again.
 func (s *fakeStore) restore(c storeCopy) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -201,8 +201,8 @@
 	return s.encoded(), s.now(), nil
 }
 
-// lostHistory returns an error for a watch from a revision that the store cannot tell the changes
-// since; the caller holds the mutex.
+// lostHistory returns an error for a watch from a revision since which the store does not have all
+// changes; the caller holds the mutex.
 func (s *fakeStore) lostHistory(since uint64) error {
 	if since < s.oldest || since > s.revision {
 		return discovery.ErrHistoryLost
@@ -218,8 +218,8 @@
 	return append(encodeVersion(s.config), padding...)
 }
 
-// wait blocks until ready says that there is something to tell, the wait is
-// over or the store is away. ready is called with the mutex held.
+// wait blocks until ready reports that there is an answer, the wait is over or
+// the store is unreachable. ready is called with the mutex held.
 func (s *fakeStore) wait(ctx context.Context, d time.Duration, ready func() bool) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -285,8 +285,8 @@
 	return raw, s.now(), err
 }
 
-// leaveWithin is the bound that the views of the tests work to, but for
-// longDrain; answerWithin is how long a call may hang.
+// leaveWithin is the propagation bound of the views in these tests, except those
+// with longDrain; answerWithin is how long a call may hang.
 const (
 	leaveWithin = 2 * time.Second
 	longDrain   = 8 * time.Second
@@ -315,7 +315,7 @@
 	})
 }
 
-// atOffsets runs a test in virtual time at different phases of what repeats.
+// atOffsets runs a test in virtual time at different phases of the periodic calls.
 func atOffsets(t *testing.T, f func(b *bubble, offset time.Duration)) {
 	for offset := time.Duration(0); offset < 2*time.Second; offset += 130 * time.Millisecond {
 		inBubble(t, func(b *bubble) { f(b, offset) })
@@ -343,8 +343,8 @@
 	return e != nil && !e.Leaving
 }
 
-// Open connections to the store go silent without a reset. The platform expects
-// this daemon to be up to date again a stable window, three seconds, later.
+// Open connections to the store become unresponsive without a reset. The platform expects
+// this daemon to be up to date again after a stable window of three seconds.
 func TestSilentWatchIsNoticed(t *testing.T) {
 	inBubble(t, func(b *bubble) {
 		s := newFakeStore()
@@ -359,23 +359,23 @@
 		s.setEndpoint(fleet.Endpoint{ID: "a", Service: "llm", Leaving: true})
 		time.Sleep(2500 * time.Millisecond)
 		if v.Table().Version != 2 {
-			t.Error("a silent watch of the desired state was not noticed")
+			t.Error("an unresponsive watch of the desired state was not detected")
 		}
 		if v.takes("a") {
-			t.Error("a silent watch of the endpoints was not noticed")
+			t.Error("an unresponsive watch of the endpoints was not detected")
 		}
 	})
 }
 
-// upstream is another daemon's view as a peer: reachable, or silent.
+// upstream is another daemon's view as a peer, which can be made unresponsive.
 type upstream struct {
 	fleetpb.Fleet
 	view *View
 	mu   sync.Mutex
 	mute bool
-	// late is how long its answers are on their way.
+	// late is the transfer time of its answers.
 	late time.Duration
-	// longest is the time of the longest poll.
+	// longest is the duration of the longest poll.
 	longest time.Duration
 }
 
@@ -405,8 +405,8 @@
 	return resp, err
 }
 
-// follower returns a running view that takes from others, and its own way to
-// the store.
+// follower returns a running view that copies from upstreams, the first one preferred, and reads the
+// store s if it must.
 func (b *bubble) follower(s Store, order ...*upstream) *View {
 	list := make([]fleetpb.Fleet, len(order))
 	for i, u := range order {
@@ -418,13 +418,13 @@
 	})
 }
 
-// way is the same store as one daemon reaches it.
+// connection is one daemon's connection to the store.
 type way struct {
 	*fakeStore
 	mu  sync.Mutex
 	cut bool
-	// hung says that calls for the desired state are not answered, as where a
-	// full link does not bring a large answer through; the others are.
+	// hung means that calls for the desired state are not answered, as if its
+	// large answer did not get through a full link; other calls are answered.
 	hung bool
 	n    int
 }
@@ -489,7 +489,7 @@
 	return w.fakeStore.ReadDesiredState(ctx)
 }
 
-// A watch over a way that is cut hears nothing until it is given up on.
+// WatchEndpoints is not answered until it times out if the connection is cut.
 func (w *way) WatchEndpoints(ctx context.Context, since storeversion.Version, wait, slack time.Duration) ([]discovery.Change, storeversion.Version, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+slack)
 	defer cancel()
@@ -520,7 +520,7 @@
 	return raw, version, err
 }
 
-// pair is two daemons that follow the store and one that takes from them.
+// pair is two watchers and a follower that copies from them.
 type pair struct {
 	store    *fakeStore
 	ways     [3]*way
@@ -542,12 +542,12 @@
 	p.follower = b.follower(p.ways[2], p.first, p.second)
 	time.Sleep(5 * time.Second)
 	if p.follower.Table().Version != 1 || !p.follower.takes("a") || !p.follower.takes("b") {
-		b.t.Fatal("the follower does not know what the others know")
+		b.t.Fatal("the follower does not have the state of the watchers")
 	}
 	return p
 }
 
-// change writes what must be in force within the drain bound.
+// change writes changes that must be in force within the propagation bound.
 func (p *pair) change() {
 	p.store.setConfig(2)
 	p.store.setEndpoint(fleet.Endpoint{ID: "a", Service: "llm", Leaving: true})
@@ -560,19 +560,19 @@
 		t.Error("the desired state is not in force")
 	}
 	if p.follower.takes("a") || p.follower.takes("b") {
-		t.Error("endpoints that leave or are gone still take requests")
+		t.Error("leaving or removed endpoints still get requests")
 	}
 }
 
-// In calm, a daemon that takes from others makes no call to the store, and
-// hears of changes as soon as they do.
+// Without faults, a follower makes no call to the store, and receives changes as soon as
+// its upstreams do.
 func TestFollowerNeedsNoStore(t *testing.T) {
 	inBubble(t, func(b *bubble) {
 		p := b.pair()
 		before := p.ways[2].calls()
 		time.Sleep(time.Minute)
 		if n := p.ways[2].calls() - before; n != 0 {
-			t.Errorf("%d calls to the store in a calm minute", n)
+			t.Errorf("%d calls to the store in a minute without faults", n)
 		}
 		p.change()
 		time.Sleep(600 * time.Millisecond)
@@ -580,8 +580,8 @@
 	})
 }
 
-// Whatever happens to the daemon that it takes from, a follower that reaches
-// the store has a change in force within the drain bound of its confirmation.
+// Under any fault of its upstreams, a follower that reaches the store has a change in force
+// within the propagation bound after its confirmation.
 func TestFollowerKeepsTheBound(t *testing.T) {
 	for name, harm := range map[string]func(p *pair){
 		"upstream frozen":        func(p *pair) { p.first.setMute(true) },
@@ -602,7 +602,7 @@
 	}
 }
 
-// A daemon that the store turns away hears of changes through the others.
+// A daemon that the store rejects receives changes through other daemons.
 func TestFollowerThatTheStoreTurnsAway(t *testing.T) {
 	inBubble(t, func(b *bubble) {
 		p := b.pair()
@@ -615,32 +615,32 @@
 	})
 }
 
-// Entries that one upstream still keeps in their grace, and the next does not
-// know, are not kept for ever.
+// Entries that one upstream still keeps in their grace period, and that the next upstream
+// does not have, are not kept for ever.
 func TestFollowerForgetsWithItsUpstream(t *testing.T) {
 	inBubble(t, func(b *bubble) {
 		p := b.pair()
 		p.store.setAway(true)
 		time.Sleep(3 * time.Second)
 		p.store.remove("a")
-		p.ways[2].setCut(true) // it hears of the return through others only
+		p.ways[2].setCut(true) // it receives the data of the returned store through others only
 		p.store.setAway(false)
 		time.Sleep(1500 * time.Millisecond)
 		p.first.setMute(true)
 		p.second.setMute(true)
 		time.Sleep(4 * time.Second)
 		p.second.setMute(false)
-		time.Sleep(4 * time.Second) // a poll that began before at each, given up on
+		time.Sleep(4 * time.Second) // until the earlier polls of both have timed out
 		if p.follower.takes("a") {
-			t.Error("an entry is kept that nobody names any more")
+			t.Error("an entry is kept that neither the store nor an upstream has")
 		}
 		if !p.follower.takes("b") {
-			t.Error("an entry that stayed is gone")
+			t.Error("an entry that the store has was dropped")
 		}
 	})
 }
 
-// Calls to a store that is away grow rarer.
+// The pause between calls to an unreachable store grows.
 func TestFailedCallsGrowRarer(t *testing.T) {
 	inBubble(t, func(b *bubble) {
 		s := newFakeStore()
@@ -654,8 +654,8 @@
 	})
 }
 
-// A daemon that starts beside others learns from them what it needs, without a
-// call to the store; one that starts alone asks the store.
+// A daemon that starts while others run copies its state from them, without a call to the
+// store; a daemon that starts alone reads the store.
 func TestStartBesideOthersNeedsNoStore(t *testing.T) {
 	inBubble(t, func(b *bubble) {
 		p := b.pair()
@@ -663,7 +663,7 @@
 		started := b.follower(own, p.first, p.second)
 		time.Sleep(startGrace)
 		if started.Table() == nil || !started.takes("a") {
-			t.Error("the others were not asked")
+			t.Error("the state was not copied from the other daemons")
 		}
 		time.Sleep(time.Minute)
 		if n := own.calls(); n != 0 {
@@ -672,13 +672,13 @@
 		alone := b.view(p.store, nil)
 		time.Sleep(2 * startGrace)
 		if alone.Table() == nil || !alone.takes("a") {
-			t.Error("the store was not asked")
+			t.Error("the store was not read")
 		}
 	})
 }
 
-// Where endpoints have long to leave, silent connections are noticed as early
-// as anywhere, and polls end before calls between daemons time out.
+// With a long propagation bound, unresponsive connections are still detected as early as
+// otherwise, and polls end before calls between daemons time out.
 func TestLongDrainBound(t *testing.T) {
 	inBubble(t, func(b *bubble) {
 		s := newFakeStore()
@@ -701,14 +701,14 @@
 		s.setConfig(2)
 		time.Sleep(2500 * time.Millisecond)
 		if v.Table().Version != 2 {
-			t.Error("a silent watch of the desired state was not noticed")
+			t.Error("an unresponsive watch of the desired state was not detected")
 		}
 	})
 }
 
-// A large desired state does not travel through the upstream, whose link would
-// not carry it to all: the follower is told and reads it from the store, or
-// from the upstream if the store turns it away.
+// A large desired state is not sent with the answers of the upstream, whose link could not
+// carry it to all followers: the follower receives its version and reads it from the store,
+// or from the upstream if the store rejects the follower.
 func TestLargeDesiredStateIsReadFromTheStore(t *testing.T) {
 	for _, cut := range []bool{false, true} {
 		inBubble(t, func(b *bubble) {
--- a/driver/storeview/suspended_test.go
+++ b/driver/storeview/suspended_test.go
@@ -8,7 +8,7 @@
 	"github.com/doorvalve/doorvalve/state/storeversion"
 )
 
-// What was heard before a host was suspended is as old afterwards as it is.
+// The age of the view includes the time for which its host was suspended.
 func TestAgeCountsSuspension(t *testing.T) {
 	suspended := time.Duration(0)
 	start := time.Now()
--- a/driver/storeview/wire.go
+++ b/driver/storeview/wire.go
@@ -8,7 +8,7 @@
 	"github.com/doorvalve/doorvalve/state/storeversion"
 )
 
-// toWire encodes endpoints for another daemon, without the copies of models.
+// toWire encodes endpoints for another daemon, without InMemory and OnDisk.
 func toWire(list []*fleet.Endpoint) []*fleetpb.Endpoint {
 	out := make([]*fleetpb.Endpoint, len(list))
 	for i, e := range list {
