--- a/driver/storeview/age.go
+++ b/driver/storeview/age.go
@@ -10,9 +10,9 @@
 // maxAge is the age reported for data that has never been received from the store.
 const maxAge = time.Hour
 
-func silentFor(f *discovery.Follower, now time.Time) bool {
+func unresponsive(f *discovery.Follower, now time.Time) bool {
 	since := f.FailingSince()
-	return !since.IsZero() && now.Sub(since) >= peersAfter
+	return !since.IsZero() && now.Sub(since) >= peerFallbackDelay
 }
 
 // StoreUnresponsive reports whether this daemon's calls to the store have failed for
@@ -20,7 +20,7 @@
 func (v *View) StoreUnresponsive(now time.Time) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return silentFor(v.endpoints, now)
+	return unresponsive(v.endpointsFollower, now)
 }
 
 // StoreOutage reports whether the store has answered neither this daemon nor any daemon
@@ -29,7 +29,7 @@
 func (v *View) StoreOutage(now time.Time) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return silentFor(v.endpoints, now) && now.Sub(v.seen()[relay.Endpoints]) >= v.part(stalePart)
+	return unresponsive(v.endpointsFollower, now) && now.Sub(v.freshness()[relay.Endpoints]) >= v.shareOfBound(staleShare)
 }
 
 // Freshness returns the time up to which all changes in the store are included, as
@@ -37,12 +37,12 @@
 func (v *View) Freshness() relay.Freshness {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.seen()
+	return v.freshness()
 }
 
 // freshness is Freshness; the caller holds the mutex.
-func (v *View) seen() relay.Freshness {
-	own := relay.Freshness{relay.Endpoints: v.endpoints.AsOf(), relay.DesiredState: v.config.AsOf()}
+func (v *View) freshness() relay.Freshness {
+	own := relay.Freshness{relay.Endpoints: v.endpointsFollower.AsOf(), relay.DesiredState: v.desiredFollower.AsOf()}
 	return relay.Latest(own, v.source.Freshness())
 }
 
--- a/driver/storeview/age_test.go
+++ b/driver/storeview/age_test.go
@@ -45,9 +45,9 @@
 			time.Sleep(time.Duration(37+i%90) * time.Millisecond)
 			age := p.follower.Age(relay.Endpoints) // read before the view, which may change in between
 			view := p.follower.Endpoints()
-			shown := view.ByID["a"].Version.Revision
+			included := view.ByID["a"].Version.Revision
 			for revision, at := range written {
-				if revision > shown && time.Since(at) > age {
+				if revision > included && time.Since(at) > age {
 					t.Fatalf("change %d: written %v ago but not in the view, whose reported age is %v", i, time.Since(at), age)
 				}
 			}
@@ -60,16 +60,16 @@
 func TestDesiredStateIsSentPacked(t *testing.T) {
 	inBubble(t, func(b *bubble) {
 		p := b.pair()
-		before := p.ways[2].calls()
+		before := p.connections[2].calls()
 		p.store.mu.Lock()
-		p.store.padding, p.store.plain = 20*large, true
+		p.store.padding, p.store.compressible = 20*large, true
 		p.store.mu.Unlock()
-		p.store.setConfig(2)
+		p.store.setDesired(2)
 		time.Sleep(100 * time.Millisecond)
 		if p.follower.Table().Version != 2 {
 			t.Error("the desired state is not in force")
 		}
-		if n := p.ways[2].calls() - before; n != 0 {
+		if n := p.connections[2].calls() - before; n != 0 {
 			t.Errorf("%d reads of the store", n)
 		}
 	})
@@ -91,26 +91,26 @@
 func TestNewWatcherAsksAtOnce(t *testing.T) {
 	atOffsets(t, func(b *bubble, offset time.Duration) {
 		p := b.pair()
-		watches := make(chan struct{})
-		own := &way{fakeStore: p.store}
+		becomes := make(chan struct{})
+		own := &connection{fakeStore: p.store}
 		v := b.view(own, func(o *Options) {
 			o.Self = "third"
-			follows := o.Upstreams
+			upstreams := o.Upstreams
 			o.Upstreams = func() (bool, []fleetpb.Fleet) {
 				select {
-				case <-watches:
-					return follows()
+				case <-becomes:
+					return upstreams()
 				default:
 					return false, []fleetpb.Fleet{p.first}
 				}
 			}
 		})
 		time.Sleep(5*time.Second + offset)
-		close(watches)
+		close(becomes)
 		time.Sleep(700 * time.Millisecond) // until the poll in progress is answered
 		p.change()
 		time.Sleep(600 * time.Millisecond) // less than the time until the copied data becomes stale
-		if v.takes("a") || v.takes("b") {
+		if v.routable("a") || v.routable("b") {
 			t.Errorf("offset %v: leaving or removed endpoints still get requests", offset)
 		}
 	})
@@ -125,16 +125,16 @@
 		s.setEndpoint(fleet.Endpoint{ID: "b", Service: "llm"})
 		v := b.view(s, nil)
 		time.Sleep(5 * time.Second)
-		s.setAway(true)
+		s.setUnreachable(true)
 		time.Sleep(5 * time.Second)
 		s.remove("a")
-		s.setAway(false)
-		time.Sleep(retryMost + 500*time.Millisecond)
-		if !v.takes("a") {
+		s.setUnreachable(false)
+		time.Sleep(maxRetry + 500*time.Millisecond)
+		if !v.routable("a") {
 			t.Error("an entry that lapsed during an outage was dropped at once")
 		}
 		time.Sleep(2 * time.Second)
-		if v.takes("a") || !v.takes("b") {
+		if v.routable("a") || !v.routable("b") {
 			t.Error("the entry was not dropped after the grace period")
 		}
 	})
@@ -146,7 +146,7 @@
 func TestTurnedAwayIsNoOutage(t *testing.T) {
 	atOffsets(t, func(b *bubble, offset time.Duration) {
 		p := b.pair()
-		own := &way{fakeStore: p.store}
+		own := &connection{fakeStore: p.store}
 		v := b.view(own, func(o *Options) {
 			o.Self = "third"
 			o.Peer = func() fleetpb.Fleet { return p.first }
@@ -157,7 +157,7 @@
 		own.setCut(false)
 		p.change()
 		time.Sleep(leaveWithin - 200*time.Millisecond)
-		if v.takes("a") || v.takes("b") {
+		if v.routable("a") || v.routable("b") {
 			t.Errorf("offset %v: leaving or removed endpoints still get requests", offset)
 		}
 	})
@@ -168,27 +168,27 @@
 func TestTurnedAwayIsToldFromAway(t *testing.T) {
 	inBubble(t, func(b *bubble) {
 		p := b.pair()
-		own := &way{fakeStore: p.store}
+		own := &connection{fakeStore: p.store}
 		v := b.view(own, func(o *Options) {
 			o.Self = "third"
 			o.Peer = func() fleetpb.Fleet { return p.first }
 		})
-		want := func(when string, silent, away bool) {
+		want := func(when string, unresponsive, outage bool) {
 			t.Helper()
 			time.Sleep(4 * time.Second)
-			if got := v.StoreUnresponsive(time.Now()); got != silent {
+			if got := v.StoreUnresponsive(time.Now()); got != unresponsive {
 				t.Errorf("%s: StoreUnresponsive is %v", when, got)
 			}
-			if got := v.StoreOutage(time.Now()); got != away {
+			if got := v.StoreOutage(time.Now()); got != outage {
 				t.Errorf("%s: StoreOutage is %v", when, got)
 			}
 		}
 		want("no fault", false, false)
 		own.setCut(true)
 		want("daemon rejected", true, false)
-		p.store.setAway(true)
+		p.store.setUnreachable(true)
 		want("outage", true, true)
-		p.store.setAway(false)
+		p.store.setUnreachable(false)
 		own.setCut(false)
 		want("store reachable again", false, false)
 	})
@@ -201,8 +201,8 @@
 	atOffsets(t, func(b *bubble, offset time.Duration) {
 		p := b.pair()
 		time.Sleep(offset)
-		p.ways[0].setCut(true)
-		p.ways[2].setCut(true)
+		p.connections[0].setCut(true)
+		p.connections[2].setCut(true)
 		p.change()
 		time.Sleep(leaveWithin - 200*time.Millisecond)
 		p.inForce(t)
@@ -218,12 +218,12 @@
 		kept := fleetpb.Endpoint{Id: "kept", Service: "llm", Revision: 9}
 		list := func(source string, revision uint64, endpoints ...*fleetpb.Endpoint) {
 			resp := &fleetpb.FollowResponse{Source: source, Change: 1, Whole: true, Endpoints: endpoints, EndpointsRevision: revision}
-			if err := v.take(nil, resp, relay.Freshness{}); err != nil {
+			if err := v.receive(nil, resp, relay.Freshness{}); err != nil {
 				t.Fatal(err)
 			}
 		}
 		list("newer", 10, &kept)
-		if v.upstream.source != "newer" || !v.takes("kept") {
+		if v.upstream.source != "newer" || !v.routable("kept") {
 			t.Fatal("the first list was not applied")
 		}
 		list("older", 5)
@@ -239,16 +239,16 @@
 	atOffsets(t, func(b *bubble, offset time.Duration) {
 		p := b.pair()
 		time.Sleep(offset)
-		p.store.setAway(true)
+		p.store.setUnreachable(true)
 		time.Sleep(5 * time.Second)
 		p.store.remove("a")
-		p.store.setAway(false)
-		time.Sleep(retryMost + 500*time.Millisecond)
-		if !p.follower.takes("a") {
+		p.store.setUnreachable(false)
+		time.Sleep(maxRetry + 500*time.Millisecond)
+		if !p.follower.routable("a") {
 			t.Errorf("offset %v: an entry that lapsed during an outage was dropped at once", offset)
 		}
 		time.Sleep(2 * time.Second)
-		if p.follower.takes("a") || !p.follower.takes("b") {
+		if p.follower.routable("a") || !p.follower.routable("b") {
 			t.Errorf("offset %v: the entry was not dropped after the grace period", offset)
 		}
 	})
--- a/driver/storeview/bound_test.go
+++ b/driver/storeview/bound_test.go
@@ -26,9 +26,9 @@
 )
 
 const (
-	// calmBefore is how long a daemon's own connection to the store must have been
+	// minHealthy is how long a daemon's own connection to the store must have been
 	// without fault before a change for the bound to apply to it.
-	calmBefore = 3 * time.Second
+	minHealthy = 3 * time.Second
 	// boundMargin is the margin to the bound, in which requests are still sent according
 	// to an earlier view.
 	boundMargin = 100 * time.Millisecond
@@ -39,48 +39,48 @@
 
 // member is one daemon of a random run.
 type member struct {
-	name string
-	way  *way
-	peer *upstream
+	name       string
+	connection *connection
+	peer       *upstream
 
-	mu      sync.Mutex
-	harms   int       // present faults of its own connection to the store
-	soundAt time.Time // when the last of these faults ended
+	mu           sync.Mutex
+	faults       int       // present faults of its own connection to the store
+	healthySince time.Time // when the last of these faults ended
 }
 
-// begin records the start of a fault of the member's own connection to the store.
-func (m *member) begin() {
+// faultBegan records the start of a fault of the member's own connection to the store.
+func (m *member) faultBegan() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.harms++
+	m.faults++
 }
 
-func (m *member) ended() {
+func (m *member) faultEnded() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.harms--
-	m.soundAt = time.Now()
+	m.faults--
+	m.healthySince = time.Now()
 }
 
 // healthy reports whether the bound applies to the member for a change made now.
-func (m *member) sound() bool {
+func (m *member) healthy() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.harms == 0 && time.Since(m.soundAt) >= calmBefore
+	return m.faults == 0 && time.Since(m.healthySince) >= minHealthy
 }
 
 // fault disturbs a member's connection to the store, if own is set, or its answers to
 // other daemons, for some time.
-type harm struct {
-	name    string
-	own     bool
-	do, end func(m *member)
+type fault struct {
+	name       string
+	own        bool
+	begin, end func(m *member)
 }
 
-var harms = []harm{
-	{"store rejects it", true, func(m *member) { m.way.setCut(true) }, func(m *member) { m.way.setCut(false) }},
-	{"large answers hang", true, func(m *member) { m.way.setHung(true) }, func(m *member) { m.way.setHung(false) }},
-	{"frozen for peers", false, func(m *member) { m.peer.setMute(true) }, func(m *member) { m.peer.setMute(false) }},
+var faults = []fault{
+	{"store rejects it", true, func(m *member) { m.connection.setCut(true) }, func(m *member) { m.connection.setCut(false) }},
+	{"large answers hang", true, func(m *member) { m.connection.setHung(true) }, func(m *member) { m.connection.setHung(false) }},
+	{"frozen for peers", false, func(m *member) { m.peer.setFrozen(true) }, func(m *member) { m.peer.setFrozen(false) }},
 	{"late for peers", false, func(m *member) { m.peer.setLate(1100 * time.Millisecond) }, func(m *member) { m.peer.setLate(0) }},
 }
 
@@ -93,12 +93,12 @@
 // randomFleet is a store and several daemons, with random faults that may overlap.
 type randomFleet struct {
 	*bubble
-	seed    uint64
-	rng     *rand.Rand // source of the changes
-	store   *fakeStore
-	members []*member
-	version uint64
-	lives   bool // endpoints also restart, and entries become unusable
+	seed     uint64
+	rng      *rand.Rand // source of the changes
+	store    *fakeStore
+	members  []*member
+	version  uint64
+	restarts bool // endpoints also restart, and entries become unusable
 
 	mu  sync.Mutex
 	log []string // of the faults
@@ -108,11 +108,11 @@
 	f := &randomFleet{bubble: b, seed: seed, rng: rand.New(rand.NewPCG(seed, 0)), store: newFakeStore(), version: 1}
 	f.store.generation = 1
 	for i := range fleetWatchers + fleetFollowers {
-		f.members = append(f.members, &member{name: fmt.Sprint("d", i), way: &way{fakeStore: f.store}, peer: &upstream{}})
+		f.members = append(f.members, &member{name: fmt.Sprint("d", i), connection: &connection{fakeStore: f.store}, peer: &upstream{}})
 	}
 	watchers := []fleetpb.Fleet{f.members[0].peer, f.members[1].peer}
 	for i, m := range f.members {
-		m.peer.view = b.view(m.way, func(o *Options) {
+		m.peer.view = b.view(m.connection, func(o *Options) {
 			o.Self = m.name
 			o.Upstreams = func() (bool, []fleetpb.Fleet) { return i < fleetWatchers, watchers }
 			o.Peer = func() fleetpb.Fleet { return f.members[(i+1)%len(f.members)].peer }
@@ -123,25 +123,25 @@
 
 // injectFaults disturbs random members until the test ends. Faults may last longer than the
 // pause until the next one.
-func (f *randomFleet) harmSome() {
+func (f *randomFleet) injectFaults() {
 	rng := rand.New(rand.NewPCG(f.seed, 1))
 	for f.ctx.Err() == nil {
-		m, h := f.members[rng.IntN(len(f.members))], harms[rng.IntN(len(harms))]
-		lasts := time.Duration(200+rng.IntN(5000)) * time.Millisecond
-		f.note(fmt.Sprintf("%v %s: %s for %v", time.Since(testStart), m.name, h.name, lasts))
-		go f.harm(m, h, lasts)
+		m, ft := f.members[rng.IntN(len(f.members))], faults[rng.IntN(len(faults))]
+		duration := time.Duration(200+rng.IntN(5000)) * time.Millisecond
+		f.note(fmt.Sprintf("%v %s: %s for %v", time.Since(testStart), m.name, ft.name, duration))
+		go f.inject(m, ft, duration)
 		pause.For(f.ctx, time.Duration(rng.IntN(3000))*time.Millisecond)
 	}
 }
 
-func (f *randomFleet) harm(m *member, h harm, lasts time.Duration) {
-	if h.own {
-		m.begin()
-		defer m.ended()
+func (f *randomFleet) inject(m *member, ft fault, duration time.Duration) {
+	if ft.own {
+		m.faultBegan()
+		defer m.faultEnded()
 	}
-	h.do(m)
-	pause.For(f.ctx, lasts)
-	h.end(m)
+	ft.begin(m)
+	pause.For(f.ctx, duration)
+	ft.end(m)
 }
 
 func (f *randomFleet) note(line string) {
@@ -151,7 +151,7 @@
 }
 
 // lastFaults returns the latest faults, which may explain a failure.
-func (f *randomFleet) lastHarms() []string {
+func (f *randomFleet) lastFaults() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(f.log[max(0, len(f.log)-6):])
@@ -161,59 +161,59 @@
 var testStart = time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)
 
 // healthy returns the members to which the bound applies for a change made now.
-func (f *randomFleet) sound() []*member {
-	return slices.DeleteFunc(slices.Clone(f.members), func(m *member) bool { return !m.sound() })
+func (f *randomFleet) healthy() []*member {
+	return slices.DeleteFunc(slices.Clone(f.members), func(m *member) bool { return !m.healthy() })
 }
 
 // change writes a change and returns a function that reports whether it is in force in a view.
 func (f *randomFleet) change(i int) (what string, inForce func(v *View) bool) {
 	id := fmt.Sprint("e", i)
-	if f.lives && f.rng.IntN(2) == 0 {
-		return f.changeLife(id)
+	if f.restarts && f.rng.IntN(2) == 0 {
+		return f.changeIncarnation(id)
 	}
 	switch f.rng.IntN(3) {
 	case 0:
 		f.version++
 		version := f.version
-		f.store.setConfig(version)
+		f.store.setDesired(version)
 		return fmt.Sprint("version ", version), func(v *View) bool { return v.Table().Version >= version }
 	case 1:
-		f.store.setEndpoint(f.endpoint(id, firstLife, true))
-		return id + " leaving", func(v *View) bool { return !v.takes(id) }
+		f.store.setEndpoint(f.endpoint(id, firstStart, true))
+		return id + " leaving", func(v *View) bool { return !v.routable(id) }
 	default:
 		f.store.remove(id)
-		return id + " removed", func(v *View) bool { return !v.takes(id) }
+		return id + " removed", func(v *View) bool { return !v.routable(id) }
 	}
 }
 
 // firstStart and nextStart are the starts of two incarnations of one endpoint.
-const firstLife, nextLife = 1000, 2000
+const firstStart, nextStart = 1000, 2000
 
 // endpoint returns the entry of an endpoint, without a start time if endpoints do not restart, as
 // on platforms that do not report it.
-func (f *randomFleet) endpoint(id string, born int64, leaving bool) fleet.Endpoint {
+func (f *randomFleet) endpoint(id string, start int64, leaving bool) fleet.Endpoint {
 	e := fleet.Endpoint{ID: id, Service: "llm", Leaving: leaving}
-	if f.lives {
-		e.StartUnixMs = born
+	if f.restarts {
+		e.StartUnixMs = start
 	}
 	return e
 }
 
 // changeIncarnation restarts an endpoint under its id, or makes its entry unusable.
-func (f *randomFleet) changeLife(id string) (what string, inForce func(v *View) bool) {
+func (f *randomFleet) changeIncarnation(id string) (what string, inForce func(v *View) bool) {
 	if f.rng.IntN(2) == 0 {
-		f.store.spoil(id)
-		return id + " unusable", func(v *View) bool { return !v.takes(id) }
+		f.store.corrupt(id)
+		return id + " unusable", func(v *View) bool { return !v.routable(id) }
 	}
-	f.store.setEndpoint(f.endpoint(id, firstLife, true))
-	f.store.setEndpoint(f.endpoint(id, nextLife, false))
+	f.store.setEndpoint(f.endpoint(id, firstStart, true))
+	f.store.setEndpoint(f.endpoint(id, nextStart, false))
 	if f.rng.IntN(2) == 0 {
-		f.store.setEndpoint(f.endpoint(id, firstLife, true)) // a delayed write
-		f.store.setEndpoint(f.endpoint(id, nextLife, false))
+		f.store.setEndpoint(f.endpoint(id, firstStart, true)) // a delayed write
+		f.store.setEndpoint(f.endpoint(id, nextStart, false))
 	}
 	return id + " restarted", func(v *View) bool {
 		e := v.Endpoints().ByID[id]
-		return e != nil && e.StartUnixMs == nextLife && !e.Leaving
+		return e != nil && e.StartUnixMs == nextStart && !e.Leaving
 	}
 }
 
@@ -238,25 +238,25 @@
 	}
 }
 
-func checkBound(t *testing.T, seed uint64, lives bool) {
+func checkBound(t *testing.T, seed uint64, restarts bool) {
 	const changes = 40
 	inBubble(t, func(b *bubble) {
 		f := newRandomFleet(b, seed)
-		f.lives = lives
+		f.restarts = restarts
 		for i := range changes {
-			f.store.setEndpoint(f.endpoint(fmt.Sprint("e", i), firstLife, false))
+			f.store.setEndpoint(f.endpoint(fmt.Sprint("e", i), firstStart, false))
 		}
-		time.Sleep(calmBefore + 2*time.Second)
-		go f.harmSome()
+		time.Sleep(minHealthy + 2*time.Second)
+		go f.injectFaults()
 		for i := range changes {
 			time.Sleep(time.Duration(f.rng.IntN(1500)) * time.Millisecond)
-			asked := f.sound()
+			healthyBefore := f.healthy()
 			what, inForce := f.change(i)
 			time.Sleep(leaveWithin - boundMargin)
-			still := f.sound()
-			for _, m := range asked {
-				if slices.Contains(still, m) && !inForce(m.peer.view) {
-					t.Errorf("seed %d: %s is missing the change %q, %v after the start; faults: %v", seed, m.name, what, time.Since(testStart), f.lastHarms())
+			healthyAfter := f.healthy()
+			for _, m := range healthyBefore {
+				if slices.Contains(healthyAfter, m) && !inForce(m.peer.view) {
+					t.Errorf("seed %d: %s is missing the change %q, %v after the start; faults: %v", seed, m.name, what, time.Since(testStart), f.lastFaults())
 					return
 				}
 			}
--- a/driver/storeview/desired.go
+++ b/driver/storeview/desired.go
@@ -64,7 +64,7 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-v.named:
+		case <-v.catchUpPending:
 		}
 		for ctx.Err() == nil && v.behind() {
 			if err := v.catchUp(ctx); err != nil {
@@ -78,11 +78,11 @@
 func (v *View) behind() bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.upstream.version > v.version()
+	return v.upstream.version > v.desiredVersion()
 }
 
 // desiredVersion returns the version of the desired state in force, 0 for none.
-func (v *View) version() uint64 {
+func (v *View) desiredVersion() uint64 {
 	if t := v.table.Load(); t != nil {
 		return t.Version
 	}
@@ -108,11 +108,11 @@
 // call, since this is the store's largest answer.
 func (v *View) readDesired(ctx context.Context) error {
 	_, err, _ := v.reads.Do("", func() (any, error) {
-		asked := v.opt.Clock()
+		requestedAt := v.opt.Clock()
 		raw, stored, err := v.opt.Store.ReadDesiredState(ctx)
-		v.logLate("store", relay.DesiredState, asked, err)
+		v.logLate("store", relay.DesiredState, requestedAt, err)
 		if err == nil {
-			err = v.heardStore(stored, relay.DesiredState)
+			err = v.checkStoreVersion(stored, relay.DesiredState)
 		}
 		if err != nil {
 			return nil, err
@@ -123,19 +123,19 @@
 		_ = v.adoptDesired(raw, "store", stored) // after an error, the previous state stays in force
 		v.mu.Lock()
 		defer v.mu.Unlock()
-		v.config.Listed(asked, v.opt.Clock(), stored)
-		v.tell()
+		v.desiredFollower.Listed(requestedAt, v.opt.Clock(), stored)
+		v.notify()
 		return nil, nil
 	})
 	return err
 }
 
 func (v *View) watchDesired(ctx context.Context) error {
-	asked, wait, since := v.beginWatch(v.config, relay.DesiredState)
+	requestedAt, wait, since := v.beginWatch(v.desiredFollower, relay.DesiredState)
 	raw, stored, err := v.opt.Store.WatchDesiredState(ctx, since, wait, watchSlack)
-	v.logLate("store", relay.DesiredState, asked.Add(wait), err)
+	v.logLate("store", relay.DesiredState, requestedAt.Add(wait), err)
 	if err == nil {
-		err = v.continues(since, stored, relay.DesiredState)
+		err = v.checkContinuity(since, stored, relay.DesiredState)
 	}
 	if err != nil {
 		return err
@@ -143,7 +143,7 @@
 	_ = v.adoptDesired(raw, "store", stored) // after an error, the previous state stays in force
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.config.Watched(asked, v.opt.Clock(), wait, stored, raw != nil)
-	v.tell()
+	v.desiredFollower.Watched(requestedAt, v.opt.Clock(), wait, stored, raw != nil)
+	v.notify()
 	return nil
 }
--- a/driver/storeview/follow.go
+++ b/driver/storeview/follow.go
@@ -19,27 +19,27 @@
 	// second, a watch of the desired state for the third: a watch that has become
 	// unresponsive must be detected before the platform expects this daemon to be
 	// up to date again.
-	gatherPart = 0.2
-	watchPart  = 0.3
-	configPart = 0.6
+	gatherShare       = 0.2
+	watchShare        = 0.3
+	desiredWatchShare = 0.6
 	// maxWatch and maxDesiredWatch bound these waits if the propagation bound is
 	// long: the platform's windows do not grow with it.
-	watchMost  = 900 * time.Millisecond
-	configMost = 1500 * time.Millisecond
+	maxWatch        = 900 * time.Millisecond
+	maxDesiredWatch = 1500 * time.Millisecond
 	// refreshShare and minWatchShare shorten a watch that follows one with
 	// changes, whose answer is only known to be as new as its request: it ends
 	// before the local data is older than the first, and waits for the second at
 	// least. At staleShare, followers of this daemon would change to another
 	// upstream.
-	refreshPart = 0.55
-	watchLeast  = 0.1
+	refreshShare  = 0.55
+	minWatchShare = 0.1
 	// watchSlack is how long after its end a slow store may begin to answer a
 	// watch before the watch counts as failed.
 	watchSlack = 600 * time.Millisecond
 	// minRetry is the pause after a failed call; it doubles up to maxRetry with
 	// each further failure, since failed calls are charged as well.
-	retryFirst = 250 * time.Millisecond
-	retryMost  = time.Second
+	minRetry = 250 * time.Millisecond
+	maxRetry = time.Second
 	// emptyRetry is the pause between reads while there is no desired state yet.
 	emptyRetry = 200 * time.Millisecond
 	// lateAnswer is the delay after which an answer is logged as late: many times
@@ -49,19 +49,19 @@
 
 // RunDesiredState follows the desired state until ctx ends.
 func (v *View) RunDesiredState(ctx context.Context) error {
-	return v.follow(ctx, v.config, relay.DesiredState, v.readDesired, v.watchDesired)
+	return v.follow(ctx, v.desiredFollower, relay.DesiredState, v.readDesired, v.watchDesired)
 }
 
 // RunEndpoints follows the endpoints until ctx ends.
 func (v *View) RunEndpoints(ctx context.Context) error {
-	return v.follow(ctx, v.endpoints, relay.Endpoints, v.listEndpoints, v.watchEndpoints)
+	return v.follow(ctx, v.endpointsFollower, relay.Endpoints, v.listEndpoints, v.watchEndpoints)
 }
 
 // follow carries out the actions that a Follower returns.
 func (v *View) follow(ctx context.Context, f *discovery.Follower, kind relay.Kind, list, watch func(context.Context) error) error {
 	for ctx.Err() == nil {
-		if until, role := v.relayedUntil(f, kind); v.opt.Clock().Before(until) {
-			pause.Until(ctx, time.Now().Add(until.Sub(v.opt.Clock())), role)
+		if until, becameWatcher := v.relayedUntil(f, kind); v.opt.Clock().Before(until) {
+			pause.Until(ctx, time.Now().Add(until.Sub(v.opt.Clock())), becameWatcher)
 			continue
 		}
 		v.mu.Lock()
@@ -81,23 +81,23 @@
 		if ctx.Err() != nil {
 			return nil
 		}
-		v.settle(f, kind, failing, err)
+		v.recordOutcome(f, kind, failing, err)
 	}
 	return nil
 }
 
 // beginWatch returns the time at which a watch of a kind is requested, how long it may
 // wait and the version that it starts from.
-func (v *View) beginWatch(f *discovery.Follower, kind relay.Kind) (asked time.Time, wait time.Duration, since storeversion.Version) {
+func (v *View) beginWatch(f *discovery.Follower, kind relay.Kind) (requestedAt time.Time, wait time.Duration, since storeversion.Version) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	asked = v.opt.Clock()
-	wait = min(v.part(watchPart), watchMost)
+	requestedAt = v.opt.Clock()
+	wait = min(v.shareOfBound(watchShare), maxWatch)
 	if kind == relay.DesiredState {
-		wait = min(v.part(configPart), configMost)
+		wait = min(v.shareOfBound(desiredWatchShare), maxDesiredWatch)
 	}
-	left := v.part(refreshPart) - asked.Sub(f.AsOf())
-	return asked, min(wait, max(left, v.part(watchLeast))), f.Since()
+	left := v.shareOfBound(refreshShare) - requestedAt.Sub(f.AsOf())
+	return requestedAt, min(wait, max(left, v.shareOfBound(minWatchShare))), f.Since()
 }
 
 // logLate logs an answer that arrived long after it was due: its content may be older by
@@ -111,14 +111,14 @@
 // relayedUntil returns the time until which a Follower may be suspended because this
 // daemon receives the same data from another one, zero if it may not, and a channel that
 // is closed if this daemon becomes a watcher before.
-func (v *View) relayedUntil(f *discovery.Follower, kind relay.Kind) (until time.Time, role <-chan struct{}) {
+func (v *View) relayedUntil(f *discovery.Follower, kind relay.Kind) (until time.Time, becameWatcher <-chan struct{}) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	now, until := v.opt.Clock(), v.source.FreshUntil(kind)
 	if until.IsZero() {
-		return v.directFrom, nil // no peer has sent any data yet
+		return v.startGraceEnd, nil // no peer has sent any data yet
 	}
-	if v.watches {
+	if v.watcher {
 		return time.Time{}, nil
 	}
 	if !now.Before(until) {
@@ -128,11 +128,11 @@
 		v.opt.Log.Info(decisions.EventDependencyRegained, "dependency", "store", "of", kind.String(), "through", "peer", "after_ms", now.Sub(failing).Milliseconds())
 	}
 	f.Suspend()
-	return until, v.roleTaken
+	return until, v.becameWatcher
 }
 
 // recordOutcome records the outcome of a call and logs the loss and return of the store.
-func (v *View) settle(f *discovery.Follower, kind relay.Kind, failing time.Time, err error) {
+func (v *View) recordOutcome(f *discovery.Follower, kind relay.Kind, failing time.Time, err error) {
 	now := v.opt.Clock()
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -151,21 +151,21 @@
 }
 
 func (v *View) listEndpoints(ctx context.Context) error {
-	asked := v.opt.Clock()
+	requestedAt := v.opt.Clock()
 	list, stored, unusable, err := v.opt.Store.ListEndpoints(ctx)
-	v.logLate("store", relay.Endpoints, asked, err)
+	v.logLate("store", relay.Endpoints, requestedAt, err)
 	if err == nil {
-		err = v.heardStore(stored, relay.Endpoints)
+		err = v.checkStoreVersion(stored, relay.Endpoints)
 	}
 	if err != nil {
 		return err
 	}
 	var fresh []discovery.Unusable
-	v.takeIn("store", func(now time.Time) (kept []string) {
-		v.noteOutage(now, stored)
-		fresh = v.takeUnusable(unusable, stored)
-		v.forgetUnusable(unusable)
-		v.endpoints.Listed(asked, now, stored)
+	v.update("store", func(now time.Time) (kept []string) {
+		v.observeOutage(now, stored)
+		fresh = v.recordUnusable(unusable, stored)
+		v.pruneUnusable(unusable)
+		v.endpointsFollower.Listed(requestedAt, now, stored)
 		return v.registry.List(now, list, stored, v.outage.GraceUntil())
 	})
 	v.logUnusable(fresh)
@@ -175,8 +175,8 @@
 // observeOutage updates the outage state for an answer of the store as of a version, received from
 // the store or through another daemon. It must be called before the answer is applied; the caller
 // holds the mutex.
-func (v *View) noteOutage(now time.Time, stored storeversion.Version) {
-	v.outage.ObserveAnswer(now, v.seen()[relay.Endpoints], v.endpoints.Failures())
+func (v *View) observeOutage(now time.Time, stored storeversion.Version) {
+	v.outage.ObserveAnswer(now, v.freshness()[relay.Endpoints], v.endpointsFollower.Failures())
 	if known := v.registry.Version(); known.Generation < stored.Generation && !known.Absent() {
 		v.outage.ObserveRestore(now)
 	}
@@ -188,13 +188,13 @@
 
 // checkStoreVersion records the version of an answer of the store, and returns an error if the answer
 // is of an older generation than the highest known one and cannot be used.
-func (v *View) heardStore(stored storeversion.Version, of relay.Kind) error {
+func (v *View) checkStoreVersion(stored storeversion.Version, of relay.Kind) error {
 	v.opt.Generations.Observe(stored.Generation, "store")
 	v.mu.Lock()
-	v.heardGeneration(v.opt.Clock(), stored.Generation)
+	v.observeGeneration(v.opt.Clock(), stored.Generation)
 	v.mu.Unlock()
 	if highest := v.opt.Generations.Highest(); stored.Generation < highest {
-		v.noteSetAside("store", of, stored, storeversion.Version{Generation: highest})
+		v.recordDiscarded("store", of, stored, storeversion.Version{Generation: highest})
 		return errOlderGeneration
 	}
 	return nil
@@ -202,8 +202,8 @@
 
 // checkContinuity returns an error if the answer to a watch that started from a version does not
 // contain all changes since then.
-func (v *View) continues(since, stored storeversion.Version, of relay.Kind) error {
-	if err := v.heardStore(stored, of); err != nil {
+func (v *View) checkContinuity(since, stored storeversion.Version, of relay.Kind) error {
+	if err := v.checkStoreVersion(stored, of); err != nil {
 		return err
 	}
 	if stored.Generation != since.Generation {
@@ -213,19 +213,19 @@
 }
 
 func (v *View) watchEndpoints(ctx context.Context) error {
-	asked, wait, since := v.beginWatch(v.endpoints, relay.Endpoints)
+	requestedAt, wait, since := v.beginWatch(v.endpointsFollower, relay.Endpoints)
 	changes, stored, err := v.opt.Store.WatchEndpoints(ctx, since, wait, watchSlack)
-	v.logLate("store", relay.Endpoints, asked.Add(wait), err)
+	v.logLate("store", relay.Endpoints, requestedAt.Add(wait), err)
 	if err == nil {
-		err = v.continues(since, stored, relay.Endpoints)
+		err = v.checkContinuity(since, stored, relay.Endpoints)
 	}
 	if err != nil {
 		return err
 	}
 	var fresh []discovery.Unusable
-	v.takeIn("store", func(now time.Time) (kept []string) {
-		kept, fresh = v.takeChanges(now, changes)
-		v.endpoints.Watched(asked, now, wait, stored, len(changes) > 0)
+	v.update("store", func(now time.Time) (kept []string) {
+		kept, fresh = v.applyChanges(now, changes)
+		v.endpointsFollower.Watched(requestedAt, now, wait, stored, len(changes) > 0)
 		return kept
 	})
 	v.logUnusable(fresh)
@@ -235,7 +235,7 @@
 // applyChanges applies the changes from a watch to the registry, and returns the entries that
 // are kept although the store no longer has them, and the entries that have newly become
 // unusable; the caller holds the mutex.
-func (v *View) takeChanges(now time.Time, changes []discovery.Change) (kept []string, fresh []discovery.Unusable) {
+func (v *View) applyChanges(now time.Time, changes []discovery.Change) (kept []string, fresh []discovery.Unusable) {
 	until := v.outage.GraceUntil() // a watch follows a list, which ends an outage
 	for _, c := range changes {
 		switch {
@@ -243,7 +243,7 @@
 			delete(v.unusable, c.ID)
 			kept = append(kept, v.registry.Remove(now, c.ID, c.Version, until)...)
 		case c.Unusable != nil:
-			fresh = append(fresh, v.takeUnusable([]discovery.Unusable{*c.Unusable}, c.Version)...)
+			fresh = append(fresh, v.recordUnusable([]discovery.Unusable{*c.Unusable}, c.Version)...)
 		default:
 			delete(v.unusable, c.ID)
 			v.registry.Put(c.Endpoint, c.Version)
--- a/driver/storeview/incident_test.go
+++ b/driver/storeview/incident_test.go
@@ -17,13 +17,13 @@
 	atOffsets(t, func(b *bubble, offset time.Duration) {
 		s := newFakeStore()
 		s.setEndpoint(fleet.Endpoint{ID: "a", Service: "llm"})
-		own := &way{fakeStore: s}
+		own := &connection{fakeStore: s}
 		other := &upstream{view: b.view(s, func(o *Options) { o.Self = "other" })}
 		returned := &upstream{view: b.view(own, func(o *Options) {
 			o.Self = "returned"
 			o.Peer = func() fleetpb.Fleet { return other }
 		})}
-		v := b.follower(&way{fakeStore: s}, returned)
+		v := b.follower(&connection{fakeStore: s}, returned)
 		time.Sleep(5 * time.Second)
 		own.setCut(true)
 		time.Sleep(5*time.Second + offset)
@@ -31,7 +31,7 @@
 		time.Sleep(50 * time.Millisecond)
 		own.setCut(false)
 		time.Sleep(leaveWithin - 200*time.Millisecond)
-		if returned.view.takes("a") || v.takes("a") {
+		if returned.view.routable("a") || v.routable("a") {
 			t.Errorf("offset %v: an endpoint whose entry was removed still gets requests", offset)
 		}
 	})
@@ -46,10 +46,10 @@
 		s.setEndpoint(fleet.Endpoint{ID: "a", Service: "llm"})
 		v := b.view(s, nil)
 		time.Sleep(5*time.Second + offset)
-		s.goSilent()
+		s.hangWatches()
 		s.remove("a")
 		time.Sleep(leaveWithin - 200*time.Millisecond)
-		if v.takes("a") {
+		if v.routable("a") {
 			t.Errorf("offset %v: an endpoint whose entry was removed still gets requests", offset)
 		}
 	})
@@ -65,8 +65,8 @@
 	atOffsets(t, func(b *bubble, offset time.Duration) {
 		p := b.pair()
 		time.Sleep(offset)
-		p.ways[0].setHung(true)
-		p.ways[1].setHung(true)
+		p.connections[0].setHung(true)
+		p.connections[1].setHung(true)
 		p.change()
 		time.Sleep(leaveWithin - 200*time.Millisecond)
 		p.inForce(t)
--- a/driver/storeview/lives.go
+++ b/driver/storeview/lives.go
@@ -17,7 +17,7 @@
 // recordUnusable records entries that describe no usable endpoint, as of a version of the
 // store, and returns the new ones. Earlier entries under their ids are no longer used; the
 // caller holds the mutex.
-func (v *View) takeUnusable(list []discovery.Unusable, stored storeversion.Version) (fresh []discovery.Unusable) {
+func (v *View) recordUnusable(list []discovery.Unusable, stored storeversion.Version) (fresh []discovery.Unusable) {
 	for _, u := range list {
 		if u.ID != "" {
 			v.registry.MarkUnusable(u.ID, stored)
@@ -34,7 +34,7 @@
 
 // pruneUnusable removes the entries that are not unusable in a whole list; the caller holds
 // the mutex.
-func (v *View) forgetUnusable(list []discovery.Unusable) {
+func (v *View) pruneUnusable(list []discovery.Unusable) {
 	maps.DeleteFunc(v.unusable, func(id string, _ storeversion.Version) bool {
 		return !slices.ContainsFunc(list, func(u discovery.Unusable) bool { return u.ID == id })
 	})
@@ -49,17 +49,17 @@
 }
 
 // maxLoggedUnusable bounds the log lines about unusable entries in one answer of the store.
-const loggedUnusable = 8
+const maxLoggedUnusable = 8
 
 func (v *View) logUnusable(list []discovery.Unusable) {
-	for _, u := range list[:min(len(list), loggedUnusable)] {
+	for _, u := range list[:min(len(list), maxLoggedUnusable)] {
 		v.opt.Log.Error(decisions.EventEndpointRejected, "endpoint", u.ID, "revision", u.Version, "error", u.Reason, "others", len(list)-1)
 	}
 }
 
 // logRestarted logs the endpoints that have started again under the same id. Nothing is kept
 // of the earlier incarnation.
-func (v *View) logReborn(old, next *fleet.View, from string) {
+func (v *View) logRestarted(old, next *fleet.View, from string) {
 	for id, e := range next.ByID {
 		o := old.ByID[id]
 		if o == nil || !o.Incarnation().Before(e.Incarnation()) {
--- a/driver/storeview/proof.go
+++ b/driver/storeview/proof.go
@@ -11,18 +11,18 @@
 // daemon has. A store that was restored from a copy may have lost confirmed states until the operator has
 // written them again, so its answers prove nothing until then.
 type proof struct {
-	generation uint64    // of the store, the highest received
-	until      time.Time // lost states are written again by then; answers prove nothing before
-	frozen     time.Time // time proven before the restore, valid until then
+	generation    uint64    // of the store, the highest received
+	rewrittenBy   time.Time // lost states are written again by then; answers prove nothing before
+	beforeRestore time.Time // time proven before the restore, valid until then
 }
 
 // observeGeneration records the generation of the store in an answer; the caller holds the mutex.
-func (v *View) heardGeneration(now time.Time, generation uint64) {
+func (v *View) observeGeneration(now time.Time, generation uint64) {
 	if generation <= v.proof.generation {
 		return
 	}
-	if seen := v.provenAt(now); !seen.IsZero() {
-		v.proof.frozen, v.proof.until = seen, now.Add(discovery.RestoreRewriteWindow)
+	if proven := v.provenAt(now); !proven.IsZero() {
+		v.proof.beforeRestore, v.proof.rewrittenBy = proven, now.Add(discovery.RestoreRewriteWindow)
 	}
 	v.proof.generation = generation
 }
@@ -30,10 +30,10 @@
 // provenAt returns the time up to which the desired state in force was certainly the newest; the caller
 // holds the mutex.
 func (v *View) provenAt(now time.Time) time.Time {
-	if now.Before(v.proof.until) {
-		return v.proof.frozen
+	if now.Before(v.proof.rewrittenBy) {
+		return v.proof.beforeRestore
 	}
-	return v.seen()[relay.DesiredState]
+	return v.freshness()[relay.DesiredState]
 }
 
 // StalenessBound returns the time since the desired state in force was last certain to be the newest;
--- a/driver/storeview/restore_test.go
+++ b/driver/storeview/restore_test.go
@@ -26,46 +26,46 @@
 // restoring is a random fleet whose store is restored from copies.
 type restoring struct {
 	*randomFleet
-	born   map[string]int64 // start times of the endpoints that are live and not leaving
-	ended  map[string]int64 // start time of the incarnation that left or was removed last
-	copies []storeCopy
+	started map[string]int64 // start times of the endpoints that are live and not leaving
+	stopped map[string]int64 // start time of the incarnation that left or was removed last
+	copies  []storeCopy
 }
 
 func (r *restoring) write(id string, leaving bool) {
-	r.store.setEndpoint(fleet.Endpoint{ID: id, StartUnixMs: r.born[id], Service: "llm", Leaving: leaving})
+	r.store.setEndpoint(fleet.Endpoint{ID: id, StartUnixMs: r.started[id], Service: "llm", Leaving: leaving})
 }
 
 // restore makes the store unreachable for a moment and restores it from a copy. Then live endpoints
 // write their entries again, the operator writes the desired state again, and the entries of stopped
 // endpoints lapse.
 func (r *restoring) restore() {
-	c := r.copies[max(0, len(r.copies)-1-r.rng.IntN(4))]
-	r.note(fmt.Sprintf("%v restored to revision %d", time.Since(testStart), c.revision))
-	r.store.setAway(true)
+	from := r.copies[max(0, len(r.copies)-1-r.rng.IntN(4))]
+	r.note(fmt.Sprintf("%v restored to revision %d", time.Since(testStart), from.revision))
+	r.store.setUnreachable(true)
 	time.Sleep(time.Duration(r.rng.IntN(3000)) * time.Millisecond)
-	r.store.restore(c)
-	r.store.setAway(false)
-	r.store.setConfig(r.version)
+	r.store.restore(from)
+	r.store.setUnreachable(false)
+	r.store.setDesired(r.version)
 	r.copies = r.copies[:0]
 	pauses := rand.New(rand.NewPCG(r.rng.Uint64(), 2))
-	for id := range r.born {
-		at := time.Duration(pauses.Int64N(int64(writtenAgain)))
+	for id := range r.started {
+		delay := time.Duration(pauses.Int64N(int64(writtenAgain)))
 		go func() {
-			pause.For(r.ctx, at)
+			pause.For(r.ctx, delay)
 			r.mu.Lock()
 			defer r.mu.Unlock()
-			if born, alive := r.born[id]; alive {
-				r.store.setEndpoint(fleet.Endpoint{ID: id, StartUnixMs: born, Service: "llm"})
+			if start, alive := r.started[id]; alive {
+				r.store.setEndpoint(fleet.Endpoint{ID: id, StartUnixMs: start, Service: "llm"})
 			}
 		}()
 	}
-	for _, e := range c.list {
-		if r.born[e.ID] != e.StartUnixMs {
+	for _, e := range from.list {
+		if r.started[e.ID] != e.StartUnixMs {
 			go func() {
 				pause.For(r.ctx, lapsed)
 				r.mu.Lock()
 				defer r.mu.Unlock()
-				if _, alive := r.born[e.ID]; !alive {
+				if _, alive := r.started[e.ID]; !alive {
 					r.store.remove(e.ID)
 				}
 			}()
@@ -78,45 +78,45 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	id := fmt.Sprint("e", r.rng.IntN(8))
-	born, alive := r.born[id]
+	start, alive := r.started[id]
 	switch {
 	case r.rng.IntN(4) == 0:
 		r.version++
 		version := r.version
-		r.store.setConfig(version)
+		r.store.setDesired(version)
 		return fmt.Sprint("version ", version), func(v *View) bool { return v.Table().Version >= version }
 	case !alive:
-		r.born[id] = r.ended[id] + 1000
+		r.started[id] = r.stopped[id] + 1000
 		r.write(id, false)
-		return id + " starts", func(v *View) bool { return v.takes(id) }
+		return id + " starts", func(v *View) bool { return v.routable(id) }
 	case r.rng.IntN(2) == 0:
 		r.write(id, true)
 	default:
 		r.store.remove(id)
 	}
-	delete(r.born, id)
-	r.ended[id] = born
-	return id + " stops", func(v *View) bool { return !v.takes(id) }
+	delete(r.started, id)
+	r.stopped[id] = start
+	return id + " stops", func(v *View) bool { return !v.routable(id) }
 }
 
 // checkStopped reports a view that lists an incarnation as usable again after it had removed it.
-func (r *restoring) watchEnded(t *testing.T, m *member) {
-	known, ended := map[string]int64{}, map[string]int64{}
+func (r *restoring) checkStopped(t *testing.T, m *member) {
+	listed, stopped := map[string]int64{}, map[string]int64{}
 	for r.ctx.Err() == nil {
 		v := m.peer.view.Endpoints()
 		r.mu.Lock()
-		for id, born := range r.ended {
+		for id, start := range r.stopped {
 			e := v.ByID[id]
 			switch {
-			case e == nil || e.Leaving || e.StartUnixMs > born:
-				ended[id] = max(ended[id], min(born, known[id]))
-			case ended[id] >= e.StartUnixMs:
+			case e == nil || e.Leaving || e.StartUnixMs > start:
+				stopped[id] = max(stopped[id], min(start, listed[id]))
+			case stopped[id] >= e.StartUnixMs:
 				t.Errorf("seed %d: %s again uses %s, which had stopped, %v after the start", r.seed, m.name, id, time.Since(testStart))
-				ended[id] = 0
+				stopped[id] = 0
 			}
 		}
 		for id, e := range v.ByID {
-			known[id] = e.StartUnixMs
+			listed[id] = e.StartUnixMs
 		}
 		r.mu.Unlock()
 		pause.For(r.ctx, 50*time.Millisecond)
@@ -136,16 +136,16 @@
 func checkBoundThroughRestores(t *testing.T, seed uint64) {
 	const changes = 30
 	inBubble(t, func(b *bubble) {
-		r := &restoring{randomFleet: newRandomFleet(b, seed), born: map[string]int64{}, ended: map[string]int64{}}
+		r := &restoring{randomFleet: newRandomFleet(b, seed), started: map[string]int64{}, stopped: map[string]int64{}}
 		for i := range 6 {
 			id := fmt.Sprint("e", i)
-			r.born[id] = 1000
+			r.started[id] = 1000
 			r.write(id, false)
 		}
-		time.Sleep(calmBefore + 2*time.Second)
-		go r.harmSome()
+		time.Sleep(minHealthy + 2*time.Second)
+		go r.injectFaults()
 		for _, m := range r.members {
-			go r.watchEnded(t, m)
+			go r.checkStopped(t, m)
 		}
 		for range changes {
 			r.copies = append(r.copies, r.store.copyNow())
@@ -154,13 +154,13 @@
 				time.Sleep(writtenAgain + time.Second)
 			}
 			time.Sleep(time.Duration(r.rng.IntN(1500)) * time.Millisecond)
-			asked := r.sound()
+			healthyBefore := r.healthy()
 			what, inForce := r.change()
 			time.Sleep(leaveWithin - boundMargin)
-			still := r.sound()
-			for _, m := range asked {
-				if slices.Contains(still, m) && !inForce(m.peer.view) {
-					t.Errorf("seed %d: %s is missing the change %q, %v after the start; faults: %v", seed, m.name, what, time.Since(testStart), r.lastHarms())
+			healthyAfter := r.healthy()
+			for _, m := range healthyBefore {
+				if slices.Contains(healthyAfter, m) && !inForce(m.peer.view) {
+					t.Errorf("seed %d: %s is missing the change %q, %v after the start; faults: %v", seed, m.name, what, time.Since(testStart), r.lastFaults())
 					return
 				}
 			}
@@ -181,24 +181,24 @@
 	}
 	var views []*View
 	for _, m := range members {
-		peers[m.ID].mute = true // until all are running
+		peers[m.ID].frozen = true // until all are running
 	}
 	for i, m := range members {
-		watches, order := relay.Upstreams(m, members)
+		watcher, order := relay.Upstreams(m, members)
 		var list []fleetpb.Fleet
 		for _, u := range order {
 			list = append(list, peers[u.ID])
 		}
 		v := b.view(s, func(o *Options) {
 			o.Self = m.ID
-			o.Upstreams = func() (bool, []fleetpb.Fleet) { return watches, list }
+			o.Upstreams = func() (bool, []fleetpb.Fleet) { return watcher, list }
 			o.Peer = func() fleetpb.Fleet { return peers[members[(i+1)%n].ID] }
 		})
 		peers[m.ID].view = v
 		views = append(views, v)
 	}
 	for _, u := range peers {
-		u.setMute(false)
+		u.setFrozen(false)
 	}
 	return views
 }
@@ -225,29 +225,29 @@
 				time.Sleep(5 * time.Second)
 				before, _ := s.counts()
 				time.Sleep(5 * time.Second)
-				calm, _ := s.counts()
+				undisturbed, _ := s.counts()
 				s.restore(c)
 				s.setEndpoint(fleet.Endpoint{ID: "e0", StartUnixMs: 1000, Service: "llm", Leaving: true})
 				s.setEndpoint(fleet.Endpoint{ID: "comer", StartUnixMs: 1000, Service: "llm"})
 				time.Sleep(leaveWithin - boundMargin)
 				for i, v := range views {
-					if v.takes("e0") || !v.takes("comer") || !v.takes("new") {
-						t.Errorf("daemon %d: e0 %v, comer %v, new (kept) %v", i, v.takes("e0"), v.takes("comer"), v.takes("new"))
+					if v.routable("e0") || !v.routable("comer") || !v.routable("new") {
+						t.Errorf("daemon %d: e0 %v, comer %v, new (kept) %v", i, v.routable("e0"), v.routable("comer"), v.routable("new"))
 						return
 					}
 				}
 				time.Sleep(5*time.Second - (leaveWithin - boundMargin))
 				after, _ := s.counts()
-				if most := 2*(calm-before) + 4*n/10; after-calm > most {
-					t.Errorf("%d calls in the 5 s after the restore, %d in the 5 s before it", after-calm, calm-before)
+				if maxCalls := 2*(undisturbed-before) + 4*n/10; after-undisturbed > maxCalls {
+					t.Errorf("%d calls in the 5 s after the restore, %d in the 5 s before it", after-undisturbed, undisturbed-before)
 				}
 				for i, v := range views {
-					if v.takes("new") {
+					if v.routable("new") {
 						t.Errorf("daemon %d keeps an entry that the copy lacks and that was not written again", i)
 						return
 					}
 				}
-				t.Logf("%d daemons: %d calls in the 5 s before the restore, %d in the 5 s after", n, calm-before, after-calm)
+				t.Logf("%d daemons: %d calls in the 5 s before the restore, %d in the 5 s after", n, undisturbed-before, after-undisturbed)
 			})
 		})
 	}
@@ -270,7 +270,7 @@
 		if !v.StoreUnresponsive(v.opt.Clock()) {
 			t.Error("the store does not count as unresponsive")
 		}
-		if !v.takes("a") {
+		if !v.routable("a") {
 			t.Error("a known endpoint was dropped")
 		}
 	})
@@ -288,7 +288,7 @@
 			old.view = b.view(s, func(o *Options) { o.Self = "old" })
 			time.Sleep(2 * time.Second)
 			c := s.copyNow()
-			s.setConfig(3)
+			s.setDesired(3)
 			time.Sleep(2 * time.Second)
 			s.restore(c)
 			starting.view = b.view(s, func(o *Options) {
@@ -299,9 +299,9 @@
 				o.Upstreams = func() (bool, []fleetpb.Fleet) { return false, []fleetpb.Fleet{old, starting} }
 			})
 			time.Sleep(500 * time.Millisecond)
-			old.setMute(true) // the follower changes to the daemon that has just started
+			old.setFrozen(true) // the follower changes to the daemon that has just started
 			time.Sleep(2 * time.Second)
-			old.setMute(false)
+			old.setFrozen(false)
 			time.Sleep(2 * time.Second)
 			if got := starting.view.Table().Version; got != 3 {
 				t.Errorf("%d bytes: the starting daemon is at version %d, want 3", size, got)
@@ -324,15 +324,15 @@
 		time.Sleep(3 * time.Second)
 		c := s.copyNow()
 		s.setEndpoint(fleet.Endpoint{ID: "b", StartUnixMs: 1000, Service: "llm"})
-		time.Sleep(v.part(gatherPart) / 2) // after the watch that has returned it, before the next
+		time.Sleep(v.shareOfBound(gatherShare) / 2) // after the watch that has returned it, before the next
 		s.restore(c)
 		s.setEndpoint(fleet.Endpoint{ID: "a", StartUnixMs: 1000, Service: "llm", Leaving: true})
 		for range 5 {
 			s.setEndpoint(fleet.Endpoint{ID: "b", StartUnixMs: 1000, Service: "llm"})
 		}
 		time.Sleep(leaveWithin - boundMargin)
-		if v.takes("a") || !v.takes("b") {
-			t.Errorf("a gets requests: %v, b gets requests: %v", v.takes("a"), v.takes("b"))
+		if v.routable("a") || !v.routable("b") {
+			t.Errorf("a gets requests: %v, b gets requests: %v", v.routable("a"), v.routable("b"))
 		}
 	})
 }
--- a/driver/storeview/revoke_test.go
+++ b/driver/storeview/revoke_test.go
@@ -35,19 +35,19 @@
 // restoreDesired restores the store to an earlier version, and writes the newest one again within
 // discovery.RestoreRewriteWindow.
 func (f *randomFleet) restoreDesired(c storeCopy) {
-	f.note(fmt.Sprintf("%v restored to version %d", time.Since(testStart), c.config))
-	f.store.setAway(true)
+	f.note(fmt.Sprintf("%v restored to version %d", time.Since(testStart), c.desiredVersion))
+	f.store.setUnreachable(true)
 	time.Sleep(time.Duration(f.rng.IntN(2000)) * time.Millisecond)
 	f.store.restore(c)
-	f.store.setAway(false)
+	f.store.setUnreachable(false)
 	newest, after := f.version, time.Duration(f.rng.Int64N(int64(discovery.RestoreRewriteWindow-100*time.Millisecond)))
 	go func() {
 		pause.For(f.ctx, after)
 		f.store.mu.Lock()
-		older := f.store.config < newest
+		older := f.store.desiredVersion < newest
 		f.store.mu.Unlock()
 		if older {
-			f.store.setConfig(newest)
+			f.store.setDesired(newest)
 		}
 	}()
 }
@@ -61,14 +61,14 @@
 			f.store.padding = large // announced first, and fetched afterwards
 			f.store.mu.Unlock()
 		}
-		time.Sleep(calmBefore + 2*time.Second)
-		go f.harmSome()
+		time.Sleep(minHealthy + 2*time.Second)
+		go f.injectFaults()
 		confirmed := []time.Time{1: time.Now()} // by version
 		var copies []storeCopy
 		for range changes {
 			copies = append(copies, f.store.copyNow())
 			f.version++
-			f.store.setConfig(f.version)
+			f.store.setDesired(f.version)
 			confirmed = append(confirmed, time.Now())
 			if restores && f.rng.IntN(6) == 0 {
 				time.Sleep(time.Duration(f.rng.IntN(600)) * time.Millisecond)
@@ -78,15 +78,15 @@
 			for range 5 {
 				time.Sleep(time.Duration(f.rng.IntN(400)) * time.Millisecond)
 				for _, m := range f.members {
-					sound := m.sound()
+					healthy := m.healthy()
 					age := m.peer.view.StalenessBound() // before the table, in the order in which requests read them
 					version := int(m.peer.view.Table().Version)
 					if version+1 < len(confirmed) && time.Since(confirmed[version+1]) > age {
-						t.Errorf("seed %d: %s has version %d with a staleness bound of %v, but the next was confirmed %v ago; faults: %v", seed, m.name, version, age, time.Since(confirmed[version+1]), f.lastHarms())
+						t.Errorf("seed %d: %s has version %d with a staleness bound of %v, but the next was confirmed %v ago; faults: %v", seed, m.name, version, age, time.Since(confirmed[version+1]), f.lastFaults())
 						return
 					}
-					if sound && !restores && age > revokeWithin {
-						t.Errorf("seed %d: %s reaches the store, but its staleness bound is %v; faults: %v", seed, m.name, age, f.lastHarms())
+					if healthy && !restores && age > revokeWithin {
+						t.Errorf("seed %d: %s reaches the store, but its staleness bound is %v; faults: %v", seed, m.name, age, f.lastFaults())
 						return
 					}
 				}
--- a/driver/storeview/storeview.go
+++ b/driver/storeview/storeview.go
@@ -46,7 +46,7 @@
 	Peer func() fleetpb.Fleet
 	// Upstreams reports whether this daemon is a watcher, and otherwise returns
 	// the daemons that it may copy from, the best first.
-	Upstreams func() (watches bool, order []fleetpb.Fleet)
+	Upstreams func() (watcher bool, order []fleetpb.Fleet)
 	// PropagationBound is the time within which a change in the store must be in
 	// force here: a leaving endpoint gets no more requests, and requests are
 	// served by a new desired state.
@@ -69,29 +69,29 @@
 	table atomic.Pointer[routing.Table]
 	view  atomic.Pointer[fleet.View]
 
-	mu         sync.Mutex
-	desired    *desiredContent // in force; nil before the first
-	registry   *discovery.Registry
-	endpoints  *discovery.Follower
-	config     *discovery.Follower
-	outage     *discovery.Outage
-	proof      proof
-	unusable   map[string]storeversion.Version // entries that describe no usable endpoint, by id
-	directFrom time.Time                       // end of startGrace: the store is read from then on, at the latest
-	watches    bool                            // this daemon is a watcher
-	source     *relay.Source
-	upstream   upstreamState
-	changes    *relay.ChangeLog // of this daemon's view, for its followers
-	told       chan struct{}    // closed when there is an update for followers
-	toldSeen   relay.Freshness  // freshness when updated was last closed
-	heard      uint64           // number of times that the freshness has increased
-	roleTaken  chan struct{}    // closed when this daemon becomes a watcher
-	onChange   []func()
-	setAside   tally.Counter
+	mu                sync.Mutex
+	desired           *desiredContent // in force; nil before the first
+	registry          *discovery.Registry
+	endpointsFollower *discovery.Follower
+	desiredFollower   *discovery.Follower
+	outage            *discovery.Outage
+	proof             proof
+	unusable          map[string]storeversion.Version // entries that describe no usable endpoint, by id
+	startGraceEnd     time.Time                       // end of startGrace: the store is read from then on, at the latest
+	watcher           bool                            // this daemon is a watcher
+	source            *relay.Source
+	upstream          upstreamState
+	changes           *relay.ChangeLog // of this daemon's view, for its followers
+	updated           chan struct{}    // closed when there is an update for followers
+	notifiedFreshness relay.Freshness  // freshness when updated was last closed
+	freshnessCount    uint64           // number of times that the freshness has increased
+	becameWatcher     chan struct{}    // closed when this daemon becomes a watcher
+	onChange          []func()
+	discarded         tally.Counter
 
-	reads singleflight.Group // of the desired state
-	named chan struct{}      // holds one element when an upstream has announced a newer desired state
-	asked atomic.Uint64      // highest desired state version reported by followers of this daemon
+	reads          singleflight.Group // of the desired state
+	catchUpPending chan struct{}      // holds one element when an upstream has announced a newer desired state
+	maxPeerVersion atomic.Uint64      // highest desired state version reported by followers of this daemon
 }
 
 // New returns an empty view.
@@ -106,21 +106,21 @@
 		opt.Generations = generations.New(opt.Log, opt.Metrics)
 	}
 	v := &View{
-		setAside: opt.Metrics.SubScope("view").Counter("answers_set_aside_total"),
-		opt:      opt, registry: discovery.NewRegistry(opt.Heartbeat), watches: true, changes: relay.NewChangeLog(), told: make(chan struct{}),
-		unusable: map[string]storeversion.Version{}, roleTaken: make(chan struct{}), named: make(chan struct{}, 1), outage: discovery.NewOutage(opt.Heartbeat),
-		config: discovery.NewFollower(discovery.FollowOptions{Retry: retryFirst, MaxRetry: retryMost}),
+		discarded: opt.Metrics.SubScope("view").Counter("answers_set_aside_total"),
+		opt:       opt, registry: discovery.NewRegistry(opt.Heartbeat), watcher: true, changes: relay.NewChangeLog(), updated: make(chan struct{}),
+		unusable: map[string]storeversion.Version{}, becameWatcher: make(chan struct{}), catchUpPending: make(chan struct{}, 1), outage: discovery.NewOutage(opt.Heartbeat),
+		desiredFollower: discovery.NewFollower(discovery.FollowOptions{Retry: minRetry, MaxRetry: maxRetry}),
 	}
-	v.endpoints = discovery.NewFollower(discovery.FollowOptions{Pause: v.part(gatherPart), Retry: retryFirst, MaxRetry: retryMost})
-	v.source = relay.NewSource(v.part(stalePart))
-	v.directFrom = v.opt.Clock().Add(startGrace)
+	v.endpointsFollower = discovery.NewFollower(discovery.FollowOptions{Pause: v.shareOfBound(gatherShare), Retry: minRetry, MaxRetry: maxRetry})
+	v.source = relay.NewSource(v.shareOfBound(staleShare))
+	v.startGraceEnd = v.opt.Clock().Add(startGrace)
 	v.view.Store(fleet.NewView(storeversion.Version{}, nil))
 	return v
 }
 
 // shareOfBound returns a share of the propagation bound.
-func (v *View) part(p float64) time.Duration {
-	return time.Duration(p * float64(v.opt.PropagationBound))
+func (v *View) shareOfBound(share float64) time.Duration {
+	return time.Duration(share * float64(v.opt.PropagationBound))
 }
 
 // Table returns the desired state in force, nil before the first.
@@ -160,7 +160,7 @@
 	}
 	v.desired = &desiredContent{raw: raw}
 	v.table.Store(t)
-	v.tell()
+	v.notify()
 	v.mu.Unlock()
 	v.opt.Log.Info(decisions.EventDesiredState, "version", t.Version, "from", from, "revision", stored, "routes", t.RouteCount())
 	v.logWorkspaces(old, t)
@@ -181,21 +181,21 @@
 }
 
 // ObserveLeaving records that an endpoint itself has reported that it is leaving.
-func (v *View) ObserveLeaving(life fleet.Incarnation) {
+func (v *View) ObserveLeaving(incarnation fleet.Incarnation) {
 	v.mu.Lock()
-	v.registry.MarkLeaving(life)
+	v.registry.MarkLeaving(incarnation)
 	v.mu.Unlock()
 	v.publish("endpoint")
 }
 
 // notify wakes the polls of followers that wait for an update; the caller holds the mutex.
-func (v *View) tell() {
-	if seen := v.seen(); seen.After(v.toldSeen) {
-		v.toldSeen = seen
-		v.heard++
+func (v *View) notify() {
+	if current := v.freshness(); current.After(v.notifiedFreshness) {
+		v.notifiedFreshness = current
+		v.freshnessCount++
 	}
-	close(v.told)
-	v.told = make(chan struct{})
+	close(v.updated)
+	v.updated = make(chan struct{})
 }
 
 // viewChange is a change of the view of the endpoints.
@@ -219,30 +219,30 @@
 // update calls apply to change the registry, publishes the result and notifies the waiting
 // polls of followers. apply is called with the mutex held, and returns the ids of entries
 // that are kept although the store no longer has them.
-func (v *View) takeIn(from string, take func(now time.Time) (kept []string)) {
+func (v *View) update(from string, apply func(now time.Time) (kept []string)) {
 	v.mu.Lock()
 	before := v.registry.Version()
-	kept := take(v.opt.Clock())
+	kept := apply(v.opt.Clock())
 	c := v.refresh()
-	v.tell()
-	aside := v.registry.TakeDiscarded()
+	v.notify()
+	discarded := v.registry.TakeDiscarded()
 	known := v.registry.Version()
 	v.mu.Unlock()
 	if before.Generation < known.Generation && !before.Absent() {
 		v.logRestored(before, known, from, c, kept)
 	}
 	v.logKept(kept)
-	v.logSetAside(aside, from, known)
-	v.announce(c, from)
+	v.logDiscarded(discarded, from, known)
+	v.notifyChange(c, from)
 }
 
 // notifyChange logs a change of the view and calls the functions added by OnChange.
-func (v *View) announce(c viewChange, from string) {
+func (v *View) notifyChange(c viewChange, from string) {
 	if c.old == c.next {
 		return
 	}
 	v.logChange(c.old, c.next, from)
-	v.logReborn(c.old, c.next, from)
+	v.logRestarted(c.old, c.next, from)
 	v.changed()
 }
 
@@ -251,29 +251,29 @@
 	v.mu.Lock()
 	c := v.refresh()
 	if c.old != c.next {
-		v.tell()
+		v.notify()
 	}
 	v.mu.Unlock()
-	v.announce(c, from)
+	v.notifyChange(c, from)
 }
 
 // maxLoggedIDs bounds the endpoints that one log line lists.
-const loggedIDs = 8
+const maxLoggedIDs = 8
 
 // logDiscarded counts and logs the parts of an answer that were discarded as stale.
-func (v *View) logSetAside(a discovery.Discarded, from string, known storeversion.Version) {
+func (v *View) logDiscarded(a discovery.Discarded, from string, known storeversion.Version) {
 	if a.Empty() {
 		return
 	}
-	v.setAside.Inc(1)
+	v.discarded.Inc(1)
 	v.opt.Log.Info(decisions.EventStaleDiscarded, "from", from, "of", relay.Endpoints.String(), "lists", a.Lists,
-		"endpoints", a.Endpoints[:min(len(a.Endpoints), loggedIDs)], "others", max(0, len(a.Endpoints)-loggedIDs), "revision", known)
+		"endpoints", a.Endpoints[:min(len(a.Endpoints), maxLoggedIDs)], "others", max(0, len(a.Endpoints)-maxLoggedIDs), "revision", known)
 }
 
 // recordDiscarded counts and logs an answer that is discarded as a whole because it is stale.
-func (v *View) noteSetAside(from string, of relay.Kind, told, known storeversion.Version) {
-	v.setAside.Inc(1)
-	v.opt.Log.Info(decisions.EventStaleDiscarded, "from", from, "of", of.String(), "lists", 1, "told", told, "revision", known)
+func (v *View) recordDiscarded(from string, of relay.Kind, received, known storeversion.Version) {
+	v.discarded.Inc(1)
+	v.opt.Log.Info(decisions.EventStaleDiscarded, "from", from, "of", of.String(), "lists", 1, "told", received, "revision", known)
 }
 
 // logRestored logs that the endpoints were replaced by those of a later generation of the store.
@@ -288,11 +288,11 @@
 }
 
 func (v *View) logChange(old, next *fleet.View, from string) {
-	var come, gone, leaving []string
+	var added, removed, leaving []string
 	for id, e := range next.ByID {
 		o := old.ByID[id]
 		if o == nil {
-			come = append(come, id)
+			added = append(added, id)
 		}
 		if e.Leaving && (o == nil || !o.Leaving) {
 			leaving = append(leaving, id)
@@ -300,10 +300,10 @@
 	}
 	for id := range old.ByID {
 		if next.ByID[id] == nil {
-			gone = append(gone, id)
+			removed = append(removed, id)
 		}
 	}
-	if len(come)+len(gone)+len(leaving) > 0 {
-		v.opt.Log.Info(decisions.EventEndpoints, "revision", next.Version, "from", from, "come", come, "gone", gone, "leaving", leaving, "endpoints", len(next.ByID))
+	if len(added)+len(removed)+len(leaving) > 0 {
+		v.opt.Log.Info(decisions.EventEndpoints, "revision", next.Version, "from", from, "come", added, "gone", removed, "leaving", leaving, "endpoints", len(next.ByID))
 	}
 }
--- a/driver/storeview/storeview_test.go
+++ b/driver/storeview/storeview_test.go
@@ -28,40 +28,40 @@
 // are never answered; new calls are. Its generation is 0 until a test sets it or restores
 // the store.
 type fakeStore struct {
-	mu         sync.Mutex
-	generation uint64
-	revision   uint64
-	oldest     uint64 // watches from an earlier revision have lost their history
-	config     uint64 // version of the desired state, as of configAt
-	configAt   uint64
-	list       []*fleet.Endpoint
-	unusable   []discovery.Unusable
-	changes    []discovery.Change
-	away       bool
-	silent     int           // calls with lower numbers are never answered if they are watches
-	changed    chan struct{} // closed at the next change
-	calls      int
-	failed     int
-	padding    int  // number of bytes added to the desired state
-	plain      bool // the padding compresses well
+	mu              sync.Mutex
+	generation      uint64
+	revision        uint64
+	oldest          uint64 // watches from an earlier revision have lost their history
+	desiredVersion  uint64 // version of the desired state, as of configAt
+	desiredRevision uint64
+	list            []*fleet.Endpoint
+	unusable        []discovery.Unusable
+	changes         []discovery.Change
+	unreachable     bool
+	hungBelow       int           // calls with lower numbers are never answered if they are watches
+	changed         chan struct{} // closed at the next change
+	calls           int
+	failed          int
+	padding         int  // number of bytes added to the desired state
+	compressible    bool // the padding compresses well
 }
 
 func newFakeStore() *fakeStore {
-	return &fakeStore{revision: 1, config: 1, configAt: 1, changed: make(chan struct{})}
+	return &fakeStore{revision: 1, desiredVersion: 1, desiredRevision: 1, changed: make(chan struct{})}
 }
 
-var errAway = errors.New("the store is unreachable")
+var errUnreachable = errors.New("the store is unreachable")
 
 func (s *fakeStore) call() (number int, err error) {
 	s.calls++
-	if s.away {
+	if s.unreachable {
 		s.failed++
-		return s.calls, errAway
+		return s.calls, errUnreachable
 	}
 	return s.calls, nil
 }
 
-func (s *fakeStore) tell() {
+func (s *fakeStore) notify() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
@@ -75,7 +75,7 @@
 	s.drop(e.ID)
 	s.list = append(s.list, &e)
 	s.changes = append(s.changes, discovery.Change{ID: e.ID, Endpoint: &e, Version: s.now()})
-	s.tell()
+	s.notify()
 }
 
 // remove removes an endpoint's entry.
@@ -85,7 +85,7 @@
 	s.revision++
 	s.drop(id)
 	s.changes = append(s.changes, discovery.Change{ID: id, Removed: true, Version: s.now()})
-	s.tell()
+	s.notify()
 }
 
 // drop deletes an entry; the caller holds the mutex.
@@ -95,7 +95,7 @@
 }
 
 // corrupt makes an entry unusable, as another writer might.
-func (s *fakeStore) spoil(id string) {
+func (s *fakeStore) corrupt(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.revision++
@@ -103,29 +103,29 @@
 	u := discovery.Unusable{ID: id, Version: s.now(), Reason: errors.New("no address")}
 	s.unusable = append(s.unusable, u)
 	s.changes = append(s.changes, discovery.Change{ID: id, Unusable: &u, Version: s.now()})
-	s.tell()
+	s.notify()
 }
 
-func (s *fakeStore) setConfig(version uint64) {
+func (s *fakeStore) setDesired(version uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.revision++
-	s.config, s.configAt = version, s.revision
-	s.tell()
+	s.desiredVersion, s.desiredRevision = version, s.revision
+	s.notify()
 }
 
-func (s *fakeStore) setAway(away bool) {
+func (s *fakeStore) setUnreachable(unreachable bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.away = away
-	s.tell()
+	s.unreachable = unreachable
+	s.notify()
 }
 
 // hangWatches keeps the watches that are open now from being answered.
-func (s *fakeStore) goSilent() {
+func (s *fakeStore) hangWatches() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.silent = s.calls + 1
+	s.hungBelow = s.calls + 1
 }
 
 func (s *fakeStore) counts() (calls, failed int) {
@@ -137,7 +137,7 @@
 func encodeVersion(v uint64) []byte { return binary.BigEndian.AppendUint64(nil, v) }
 
 // large is the size of a desired state that answers to polls do not include.
-const large = inlineConfig + 1
+const large = maxInlineDesired + 1
 
 func decodeVersion(raw []byte) (*routing.Table, error) {
 	return &routing.Table{Version: binary.BigEndian.Uint64(raw)}, nil
@@ -150,15 +150,15 @@
 
 // storeCopy is a copy of a fakeStore's content, for a restore.
 type storeCopy struct {
-	revision, config, configAt uint64
-	list                       []*fleet.Endpoint
-	unusable                   []discovery.Unusable
+	revision, desiredVersion, desiredRevision uint64
+	list                                      []*fleet.Endpoint
+	unusable                                  []discovery.Unusable
 }
 
 func (s *fakeStore) copyNow() storeCopy {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return storeCopy{s.revision, s.config, s.configAt, slices.Clone(s.list), slices.Clone(s.unusable)}
+	return storeCopy{s.revision, s.desiredVersion, s.desiredRevision, slices.Clone(s.list), slices.Clone(s.unusable)}
 }
 
 // restore restores the store from a copy: writes acknowledged since the copy are lost, and their
@@ -167,12 +167,12 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.generation++
-	s.revision, s.config, s.configAt = c.revision, c.config, c.configAt
+	s.revision, s.desiredVersion, s.desiredRevision = c.revision, c.desiredVersion, c.desiredRevision
 	s.list, s.unusable = nil, nil
 	for _, e := range c.list {
-		again := *e
-		again.Version.Generation = s.generation
-		s.list = append(s.list, &again)
+		restored := *e
+		restored.Version.Generation = s.generation
+		s.list = append(s.list, &restored)
 	}
 	for _, u := range c.unusable {
 		u.Version.Generation = s.generation
@@ -180,7 +180,7 @@
 	}
 	s.changes = nil
 	s.oldest = c.revision
-	s.tell()
+	s.notify()
 }
 
 func (s *fakeStore) ListEndpoints(context.Context) ([]*fleet.Endpoint, storeversion.Version, []discovery.Unusable, error) {
@@ -212,10 +212,10 @@
 
 func (s *fakeStore) encoded() []byte {
 	padding := make([]byte, s.padding)
-	if !s.plain {
+	if !s.compressible {
 		_, _ = rand.NewChaCha8([32]byte{}).Read(padding) // never fails
 	}
-	return append(encodeVersion(s.config), padding...)
+	return append(encodeVersion(s.desiredVersion), padding...)
 }
 
 // wait blocks until ready reports that there is an answer, the wait is over or
@@ -226,14 +226,14 @@
 	number, err := s.call()
 	end := time.Now().Add(d)
 	for err == nil {
-		heard := number >= s.silent
+		answered := number >= s.hungBelow
 		left := time.Until(end)
 		switch {
-		case heard && s.away:
-			return errAway
-		case heard && (ready() || left <= 0):
+		case answered && s.unreachable:
+			return errUnreachable
+		case answered && (ready() || left <= 0):
 			return nil
-		case !heard:
+		case !answered:
 			left = time.Hour
 		}
 		changed := s.changed
@@ -273,13 +273,13 @@
 func (s *fakeStore) WatchDesiredState(ctx context.Context, since storeversion.Version, wait, slack time.Duration) (raw []byte, version storeversion.Version, err error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+slack)
 	defer cancel()
-	err = s.wait(ctx, wait, func() bool { return s.configAt > since.Revision || s.lostHistory(since.Revision) != nil })
+	err = s.wait(ctx, wait, func() bool { return s.desiredRevision > since.Revision || s.lostHistory(since.Revision) != nil })
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if lost := s.lostHistory(since.Revision); err == nil && lost != nil {
 		return nil, s.now(), lost
 	}
-	if s.configAt > since.Revision {
+	if s.desiredRevision > since.Revision {
 		raw = s.encoded()
 	}
 	return raw, s.now(), err
@@ -338,7 +338,7 @@
 	return v
 }
 
-func (v *View) takes(id string) bool {
+func (v *View) routable(id string) bool {
 	e := v.Endpoints().ByID[id]
 	return e != nil && !e.Leaving
 }
@@ -351,17 +351,17 @@
 		s.setEndpoint(fleet.Endpoint{ID: "a", Service: "llm"})
 		v := b.view(s, nil)
 		time.Sleep(5 * time.Second)
-		if v.Table().Version != 1 || !v.takes("a") {
+		if v.Table().Version != 1 || !v.routable("a") {
 			t.Fatal("the view did not follow the store")
 		}
-		s.goSilent()
-		s.setConfig(2)
+		s.hangWatches()
+		s.setDesired(2)
 		s.setEndpoint(fleet.Endpoint{ID: "a", Service: "llm", Leaving: true})
 		time.Sleep(2500 * time.Millisecond)
 		if v.Table().Version != 2 {
 			t.Error("an unresponsive watch of the desired state was not detected")
 		}
-		if v.takes("a") {
+		if v.routable("a") {
 			t.Error("an unresponsive watch of the endpoints was not detected")
 		}
 	})
@@ -370,26 +370,26 @@
 // upstream is another daemon's view as a peer, which can be made unresponsive.
 type upstream struct {
 	fleetpb.Fleet
-	view *View
-	mu   sync.Mutex
-	mute bool
+	view   *View
+	mu     sync.Mutex
+	frozen bool
 	// late is the transfer time of its answers.
 	late time.Duration
 	// longest is the duration of the longest poll.
 	longest time.Duration
 }
 
-func (u *upstream) setMute(mute bool) {
+func (u *upstream) setFrozen(frozen bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.mute = mute
+	u.frozen = frozen
 }
 
 func (u *upstream) Follow(ctx context.Context, req *fleetpb.FollowRequest) (*fleetpb.FollowResponse, error) {
 	u.mu.Lock()
-	mute, late := u.mute, u.late
+	frozen, late := u.frozen, u.late
 	u.mu.Unlock()
-	if mute {
+	if frozen {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
@@ -419,7 +419,7 @@
 }
 
 // connection is one daemon's connection to the store.
-type way struct {
+type connection struct {
 	*fakeStore
 	mu  sync.Mutex
 	cut bool
@@ -429,54 +429,54 @@
 	n    int
 }
 
-func (w *way) setHung(hung bool) {
+func (w *connection) setHung(hung bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.hung = hung
 }
 
-func (w *way) isHung() bool {
+func (w *connection) isHung() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.hung
 }
 
-func (w *way) call() error {
+func (w *connection) call() error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.n++
 	if w.cut {
-		return errAway
+		return errUnreachable
 	}
 	return nil
 }
 
-func (w *way) setCut(cut bool) {
+func (w *connection) setCut(cut bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.cut = cut
 }
 
-func (w *way) isCut() bool {
+func (w *connection) isCut() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.cut
 }
 
-func (w *way) calls() int {
+func (w *connection) calls() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.n
 }
 
-func (w *way) ListEndpoints(ctx context.Context) ([]*fleet.Endpoint, storeversion.Version, []discovery.Unusable, error) {
+func (w *connection) ListEndpoints(ctx context.Context) ([]*fleet.Endpoint, storeversion.Version, []discovery.Unusable, error) {
 	if err := w.call(); err != nil {
 		return nil, storeversion.Version{}, nil, err
 	}
 	return w.fakeStore.ListEndpoints(ctx)
 }
 
-func (w *way) ReadDesiredState(ctx context.Context) ([]byte, storeversion.Version, error) {
+func (w *connection) ReadDesiredState(ctx context.Context) ([]byte, storeversion.Version, error) {
 	if err := w.call(); err != nil {
 		return nil, storeversion.Version{}, err
 	}
@@ -490,7 +490,7 @@
 }
 
 // WatchEndpoints is not answered until it times out if the connection is cut.
-func (w *way) WatchEndpoints(ctx context.Context, since storeversion.Version, wait, slack time.Duration) ([]discovery.Change, storeversion.Version, error) {
+func (w *connection) WatchEndpoints(ctx context.Context, since storeversion.Version, wait, slack time.Duration) ([]discovery.Change, storeversion.Version, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+slack)
 	defer cancel()
 	if w.call() != nil {
@@ -505,7 +505,7 @@
 	return changes, version, err
 }
 
-func (w *way) WatchDesiredState(ctx context.Context, since storeversion.Version, wait, slack time.Duration) ([]byte, storeversion.Version, error) {
+func (w *connection) WatchDesiredState(ctx context.Context, since storeversion.Version, wait, slack time.Duration) ([]byte, storeversion.Version, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+slack)
 	defer cancel()
 	if w.call() != nil {
@@ -522,26 +522,26 @@
 
 // pair is two watchers and a follower that copies from them.
 type pair struct {
-	store    *fakeStore
-	ways     [3]*way
-	first    *upstream
-	second   *upstream
-	follower *View
+	store       *fakeStore
+	connections [3]*connection
+	first       *upstream
+	second      *upstream
+	follower    *View
 }
 
 func (b *bubble) pair() *pair {
 	p := &pair{store: newFakeStore()}
-	for i := range p.ways {
-		p.ways[i] = &way{fakeStore: p.store}
+	for i := range p.connections {
+		p.connections[i] = &connection{fakeStore: p.store}
 	}
-	named := func(name string) func(*Options) { return func(o *Options) { o.Self = name } }
+	withName := func(name string) func(*Options) { return func(o *Options) { o.Self = name } }
 	p.store.setEndpoint(fleet.Endpoint{ID: "a", Service: "llm"})
 	p.store.setEndpoint(fleet.Endpoint{ID: "b", Service: "llm"})
-	p.first = &upstream{view: b.view(p.ways[0], named("first"))}
-	p.second = &upstream{view: b.view(p.ways[1], named("second"))}
-	p.follower = b.follower(p.ways[2], p.first, p.second)
+	p.first = &upstream{view: b.view(p.connections[0], withName("first"))}
+	p.second = &upstream{view: b.view(p.connections[1], withName("second"))}
+	p.follower = b.follower(p.connections[2], p.first, p.second)
 	time.Sleep(5 * time.Second)
-	if p.follower.Table().Version != 1 || !p.follower.takes("a") || !p.follower.takes("b") {
+	if p.follower.Table().Version != 1 || !p.follower.routable("a") || !p.follower.routable("b") {
 		b.t.Fatal("the follower does not have the state of the watchers")
 	}
 	return p
@@ -549,7 +549,7 @@
 
 // change writes changes that must be in force within the propagation bound.
 func (p *pair) change() {
-	p.store.setConfig(2)
+	p.store.setDesired(2)
 	p.store.setEndpoint(fleet.Endpoint{ID: "a", Service: "llm", Leaving: true})
 	p.store.remove("b")
 }
@@ -559,7 +559,7 @@
 	if p.follower.Table().Version != 2 {
 		t.Error("the desired state is not in force")
 	}
-	if p.follower.takes("a") || p.follower.takes("b") {
+	if p.follower.routable("a") || p.follower.routable("b") {
 		t.Error("leaving or removed endpoints still get requests")
 	}
 }
@@ -569,9 +569,9 @@
 func TestFollowerNeedsNoStore(t *testing.T) {
 	inBubble(t, func(b *bubble) {
 		p := b.pair()
-		before := p.ways[2].calls()
+		before := p.connections[2].calls()
 		time.Sleep(time.Minute)
-		if n := p.ways[2].calls() - before; n != 0 {
+		if n := p.connections[2].calls() - before; n != 0 {
 			t.Errorf("%d calls to the store in a minute without faults", n)
 		}
 		p.change()
@@ -583,17 +583,17 @@
 // Under any fault of its upstreams, a follower that reaches the store has a change in force
 // within the propagation bound after its confirmation.
 func TestFollowerKeepsTheBound(t *testing.T) {
-	for name, harm := range map[string]func(p *pair){
-		"upstream frozen":        func(p *pair) { p.first.setMute(true) },
-		"both upstreams frozen":  func(p *pair) { p.first.setMute(true); p.second.setMute(true) },
-		"upstream cut off":       func(p *pair) { p.ways[0].setCut(true) },
-		"both upstreams cut off": func(p *pair) { p.ways[0].setCut(true); p.ways[1].setCut(true) },
+	for name, disturb := range map[string]func(p *pair){
+		"upstream frozen":        func(p *pair) { p.first.setFrozen(true) },
+		"both upstreams frozen":  func(p *pair) { p.first.setFrozen(true); p.second.setFrozen(true) },
+		"upstream cut off":       func(p *pair) { p.connections[0].setCut(true) },
+		"both upstreams cut off": func(p *pair) { p.connections[0].setCut(true); p.connections[1].setCut(true) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			atOffsets(t, func(b *bubble, offset time.Duration) {
 				p := b.pair()
 				time.Sleep(offset)
-				harm(p)
+				disturb(p)
 				p.change()
 				time.Sleep(leaveWithin - 400*time.Millisecond)
 				p.inForce(t)
@@ -603,11 +603,11 @@
 }
 
 // A daemon that the store rejects receives changes through other daemons.
-func TestFollowerThatTheStoreTurnsAway(t *testing.T) {
+func TestRejectedFollowerReceivesChanges(t *testing.T) {
 	inBubble(t, func(b *bubble) {
 		p := b.pair()
-		p.ways[2].setCut(true)
-		p.ways[0].setCut(true)
+		p.connections[2].setCut(true)
+		p.connections[0].setCut(true)
 		time.Sleep(5 * time.Second)
 		p.change()
 		time.Sleep(leaveWithin)
@@ -620,33 +620,33 @@
 func TestFollowerForgetsWithItsUpstream(t *testing.T) {
 	inBubble(t, func(b *bubble) {
 		p := b.pair()
-		p.store.setAway(true)
+		p.store.setUnreachable(true)
 		time.Sleep(3 * time.Second)
 		p.store.remove("a")
-		p.ways[2].setCut(true) // it receives the data of the returned store through others only
-		p.store.setAway(false)
+		p.connections[2].setCut(true) // it receives the data of the returned store through others only
+		p.store.setUnreachable(false)
 		time.Sleep(1500 * time.Millisecond)
-		p.first.setMute(true)
-		p.second.setMute(true)
+		p.first.setFrozen(true)
+		p.second.setFrozen(true)
 		time.Sleep(4 * time.Second)
-		p.second.setMute(false)
+		p.second.setFrozen(false)
 		time.Sleep(4 * time.Second) // until the earlier polls of both have timed out
-		if p.follower.takes("a") {
+		if p.follower.routable("a") {
 			t.Error("an entry is kept that neither the store nor an upstream has")
 		}
-		if !p.follower.takes("b") {
+		if !p.follower.routable("b") {
 			t.Error("an entry that the store has was dropped")
 		}
 	})
 }
 
 // The pause between calls to an unreachable store grows.
-func TestFailedCallsGrowRarer(t *testing.T) {
+func TestPauseAfterFailedCallsGrows(t *testing.T) {
 	inBubble(t, func(b *bubble) {
 		s := newFakeStore()
 		b.view(s, nil)
 		time.Sleep(5 * time.Second)
-		s.setAway(true)
+		s.setUnreachable(true)
 		time.Sleep(10 * time.Second)
 		if _, failed := s.counts(); failed > 28 {
 			t.Errorf("%d failed calls in ten seconds", failed)
@@ -656,13 +656,13 @@
 
 // A daemon that starts while others run copies its state from them, without a call to the
 // store; a daemon that starts alone reads the store.
-func TestStartBesideOthersNeedsNoStore(t *testing.T) {
+func TestStartWithPeersNeedsNoStore(t *testing.T) {
 	inBubble(t, func(b *bubble) {
 		p := b.pair()
-		own := &way{fakeStore: p.store}
+		own := &connection{fakeStore: p.store}
 		started := b.follower(own, p.first, p.second)
 		time.Sleep(startGrace)
-		if started.Table() == nil || !started.takes("a") {
+		if started.Table() == nil || !started.routable("a") {
 			t.Error("the state was not copied from the other daemons")
 		}
 		time.Sleep(time.Minute)
@@ -671,7 +671,7 @@
 		}
 		alone := b.view(p.store, nil)
 		time.Sleep(2 * startGrace)
-		if alone.Table() == nil || !alone.takes("a") {
+		if alone.Table() == nil || !alone.routable("a") {
 			t.Error("the store was not read")
 		}
 	})
@@ -697,8 +697,8 @@
 		if longest == 0 || longest >= peers.CallTimeout {
 			t.Errorf("a poll took %v", longest)
 		}
-		s.goSilent()
-		s.setConfig(2)
+		s.hangWatches()
+		s.setDesired(2)
 		time.Sleep(2500 * time.Millisecond)
 		if v.Table().Version != 2 {
 			t.Error("an unresponsive watch of the desired state was not detected")
@@ -713,17 +713,17 @@
 	for _, cut := range []bool{false, true} {
 		inBubble(t, func(b *bubble) {
 			p := b.pair()
-			p.ways[2].setCut(cut)
-			before := p.ways[2].calls()
+			p.connections[2].setCut(cut)
+			before := p.connections[2].calls()
 			p.store.mu.Lock()
 			p.store.padding = large
 			p.store.mu.Unlock()
-			p.store.setConfig(2)
+			p.store.setDesired(2)
 			time.Sleep(100 * time.Millisecond)
 			if p.follower.Table().Version != 2 {
 				t.Errorf("cut off %v: not in force", cut)
 			}
-			if n := p.ways[2].calls() - before; n != 1 {
+			if n := p.connections[2].calls() - before; n != 1 {
 				t.Errorf("cut off %v: %d reads of the store", cut, n)
 			}
 		})
--- a/driver/storeview/suspended_test.go
+++ b/driver/storeview/suspended_test.go
@@ -14,7 +14,7 @@
 	start := time.Now()
 	v := New(Options{PropagationBound: time.Second, Clock: func() time.Time { return start.Add(suspended) }})
 	v.mu.Lock()
-	v.endpoints.Listed(start, start, storeversion.Version{Revision: 1})
+	v.endpointsFollower.Listed(start, start, storeversion.Version{Revision: 1})
 	v.mu.Unlock()
 	if age := v.Age(relay.Endpoints); age != 0 {
 		t.Fatalf("%v old at once", age)
