--- a/driver/decisions/log.go
+++ b/driver/decisions/log.go
@@ -1,7 +1,6 @@
-// Package decisions writes the log that explains afterwards what a daemon
-// decided: one JSON line for each decision that touches a request or changes
-// what the daemon believes. Writing never blocks: a reader that stops costs
-// lines, which are counted.
+// Package decisions writes a daemon's decision log: one JSON line for each
+// decision that affects a request or changes the daemon's local state. Writing
+// never blocks: if the reader stops, lines are dropped and counted.
 package decisions
 
 import (
@@ -61,7 +60,7 @@
 	EventLimitUnreadable      = "limit of an endpoint cannot be read"
 )
 
-// Events of daemons with bundles of their own.
+// Events of daemons that take their configuration from bundles.
 const (
 	EventPhase          = "shutdown phase changed"
 	EventBundlePending  = "bundle not fetched yet"
@@ -75,11 +74,11 @@
 )
 
 const (
-	// queueLines bounds the lines that wait to be written: a second of the
-	// busiest daemon.
+	// maxQueuedLines bounds the lines that wait to be written: one second of
+	// the busiest daemon's output.
 	queueLines = 2048
-	// routinePerSecond bounds the lines about successes; those beyond are
-	// counted and left out, so that failures always find room.
+	// maxSampledPerSecond bounds the lines about successes; further ones are
+	// counted and left out, so that there is always room for failures.
 	routinePerSecond = 200
 )
 
@@ -89,7 +88,7 @@
 	*shared
 }
 
-// shared is what a log and those derived from it have in common.
+// shared is the state that a log shares with all logs derived from it.
 type shared struct {
 	sink    *sink
 	second  atomic.Int64
@@ -107,10 +106,11 @@
 // With returns a log that adds fields to each line.
 func (l *Log) With(args ...any) *Log { return &Log{shared: l.shared, Logger: l.Logger.With(args...)} }
 
-// Part returns a log whose lines name a part of the daemon.
+// Component returns a log whose lines name a component of the daemon.
 func (l *Log) Component(name string) *Log { return &Log{shared: l.shared, Logger: l.Named(name)} }
 
-// Routine logs a success, unless many were logged in this second.
+// InfoSampled logs a success, unless maxSampledPerSecond successes have been
+// logged in the current second.
 func (l *Log) InfoSampled(event string, args ...any) {
 	now := time.Now().Unix()
 	if l.second.Swap(now) != now {
@@ -123,10 +123,11 @@
 	l.Info(event, args...)
 }
 
-// Lost returns the lines that found no room, and the successes left out.
+// Dropped returns the number of lines lost, because the queue was full or a
+// write failed (counted once a write), and the number of successes left out.
 func (l *Log) Dropped() (lost, skipped int64) { return l.sink.lost.Load(), l.skipped.Load() }
 
-// Close writes what waits, for a short while.
+// Close writes the lines that still wait, for closeTimeout at most.
 func (l *Log) Close() {
 	close(l.sink.closing)
 	close(l.sink.lines)
@@ -139,17 +140,17 @@
 // closeTimeout bounds the writing of the last lines.
 const closeTimeout = 200 * time.Millisecond
 
-// sink hands lines to a goroutine that writes them.
+// sink passes lines to a goroutine that writes them.
 type sink struct {
 	lines   chan []byte
-	closing chan struct{} // closed when lines need not gather any more
+	closing chan struct{} // closed when lines are to be written without further delay
 	done    chan struct{}
 	lost    atomic.Int64
 }
 
 // Write implements io.Writer; it never blocks and never fails.
 func (s *sink) Write(line []byte) (int, error) {
-	defer func() { _ = recover() }() // a line after Close is lost
+	defer func() { _ = recover() }() // a line written after Close is lost
 	select {
 	case s.lines <- append([]byte(nil), line...):
 	default:
@@ -158,10 +159,10 @@
 	return len(line), nil
 }
 
-// maxBatch bounds the bytes written by one call.
+// maxBatch is the number of bytes at which a batch takes no further line.
 const maxBatch = 16 << 10
 
-// batchPause lets lines gather, so that one call writes several.
+// batchPause is the time for which lines gather, so that one call writes several.
 const batchPause = 100 * time.Millisecond
 
 func (s *sink) run(w io.Writer) {
@@ -177,7 +178,7 @@
 	}
 }
 
-// pause lets lines gather, but for the last ones.
+// pause waits for batchPause, or until the log is closed.
 func (s *sink) pause() {
 	t := time.NewTimer(batchPause)
 	defer t.Stop()
@@ -187,7 +188,7 @@
 	}
 }
 
-// gather adds the lines that wait, up to a bound.
+// gather adds the waiting lines to a batch, up to maxBatch bytes.
 func (s *sink) gather(batch []byte) []byte {
 	for len(batch) < maxBatch {
 		select {
--- a/driver/decisions/log_test.go
+++ b/driver/decisions/log_test.go
@@ -11,14 +11,14 @@
 	"github.com/doorvalve/doorvalve/internal/syncbuf"
 )
 
-// answered writes the line that each served request costs.
+// answered writes the line that is logged for each served request.
 func answered(l *Log) {
 	l.InfoSampled(EventAnswered, "request", "9c41d07be2a35f68", "route", "r-6z8sdh6", "model", "daka510000", "status", 200,
 		"ms", 412, "first_event_ms", 63, "waited_ms", 0, "endpoint", "i-7f3a91c2", "version", 12)
 }
 
-// Bounds of what a request's line costs. Measured when the test was written: 40
-// allocations (43 with the race detector) and 274 bytes in the log.
+// Bounds on the cost of a request's line, which is 40 allocations (43 with the race
+// detector) and 274 bytes in the log.
 const (
 	mostAllocations = 50
 	mostBytes       = 350
@@ -39,7 +39,7 @@
 	}
 }
 
-// stuck is a reader that has stopped.
+// stuck is a writer that blocks until it is released.
 type stuck struct{ until chan struct{} }
 
 func (s stuck) Write(p []byte) (int, error) {
@@ -47,7 +47,7 @@
 	return len(p), nil
 }
 
-// A reader that stops costs lines, which are counted, and delays nobody.
+// If the reader stops, lines are dropped and counted, and callers are not blocked.
 func TestFullPipeLosesCountedLines(t *testing.T) {
 	until := make(chan struct{})
 	l := New(stuck{until}, "doorvalved", hclog.Info)
@@ -63,7 +63,7 @@
 	l.Close()
 }
 
-// Many successes leave room for failures: they are left out and counted.
+// Successes beyond the bound are left out and counted, so that failures are still logged.
 func TestSuccessesAreSampled(t *testing.T) {
 	var b syncbuf.Buffer
 	l := New(&b, "doorvalved", hclog.Info)
@@ -80,7 +80,7 @@
 		t.Errorf("%d successes in %d s", kept, seconds)
 	}
 	if !strings.Contains(b.String(), EventRefused) {
-		t.Error("the refusal found no room")
+		t.Error("the refusal was not logged")
 	}
 }
 
--- a/driver/decisions/once.go
+++ b/driver/decisions/once.go
@@ -2,17 +2,18 @@
 
 import "sync"
 
-// onceNames bounds the names that a Once remembers; beyond it none counts as new.
+// maxOnceNames bounds the names that a Once remembers; after that, no name counts as new.
 const onceNames = 64
 
-// Once tells which names are new, for lines that are written once for each. It is safe for
-// concurrent use.
+// Once reports which names are new, for lines that are logged once per name. The zero value is
+// ready to use. It is safe for concurrent use.
 type Once struct {
 	mu    sync.Mutex
 	names map[string]bool
 }
 
-// First reports whether a name is asked for for the first time.
+// First reports whether it is called with a name for the first time, while fewer than
+// maxOnceNames names are remembered.
 func (o *Once) First(name string) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/driver/decisions/once_test.go
+++ b/driver/decisions/once_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// A name is news once, and a flood of names is bounded.
+// Each name counts as new once, and the number of remembered names is bounded.
 func TestNamesAreNewsOnce(t *testing.T) {
 	var o Once
 	news := 0
@@ -17,6 +17,6 @@
 		}
 	}
 	if news != onceNames {
-		t.Errorf("%d names were news, want %d", news, onceNames)
+		t.Errorf("%d names were reported as new, want %d", news, onceNames)
 	}
 }
