--- a/driver/decisions/log.go
+++ b/driver/decisions/log.go
@@ -76,10 +76,10 @@
 const (
 	// maxQueuedLines bounds the lines that wait to be written: one second of
 	// the busiest daemon's output.
-	queueLines = 2048
+	maxQueuedLines = 2048
 	// maxSampledPerSecond bounds the lines about successes; further ones are
 	// counted and left out, so that there is always room for failures.
-	routinePerSecond = 200
+	maxSampledPerSecond = 200
 )
 
 // Log is safe for concurrent use.
@@ -92,13 +92,13 @@
 type shared struct {
 	sink    *sink
 	second  atomic.Int64
-	routine atomic.Int64
+	sampled atomic.Int64
 	skipped atomic.Int64
 }
 
 // New returns a log that writes to w from a goroutine of its own.
 func New(w io.Writer, name string, level hclog.Level) *Log {
-	s := &sink{lines: make(chan []byte, queueLines), closing: make(chan struct{}), done: make(chan struct{})}
+	s := &sink{lines: make(chan []byte, maxQueuedLines), closing: make(chan struct{}), done: make(chan struct{})}
 	go s.run(w)
 	return &Log{shared: &shared{sink: s}, Logger: hclog.New(&hclog.LoggerOptions{Name: name, Level: level, JSONFormat: true, Output: s, TimeFormat: "2006-01-02T15:04:05.000Z07:00"})}
 }
@@ -114,9 +114,9 @@
 func (l *Log) InfoSampled(event string, args ...any) {
 	now := time.Now().Unix()
 	if l.second.Swap(now) != now {
-		l.routine.Store(0)
+		l.sampled.Store(0)
 	}
-	if l.routine.Add(1) > routinePerSecond {
+	if l.sampled.Add(1) > maxSampledPerSecond {
 		l.skipped.Add(1)
 		return
 	}
--- a/driver/decisions/log_test.go
+++ b/driver/decisions/log_test.go
@@ -20,44 +20,44 @@
 // Bounds on the cost of a request's line, which is 40 allocations (43 with the race
 // detector) and 274 bytes in the log.
 const (
-	mostAllocations = 50
-	mostBytes       = 350
+	maxAllocations = 50
+	maxLineBytes   = 350
 )
 
 func TestLineIsCheap(t *testing.T) {
 	l := New(io.Discard, "doorvalved", hclog.Info)
 	defer l.Close()
-	if n := testing.AllocsPerRun(100, func() { answered(l) }); n > mostAllocations {
+	if n := testing.AllocsPerRun(100, func() { answered(l) }); n > maxAllocations {
 		t.Errorf("%.0f allocations a line", n)
 	}
 	c := &syncbuf.Buffer{}
 	one := New(c, "doorvalved", hclog.Info)
 	answered(one)
 	one.Close()
-	if n := len(c.String()); n == 0 || n > mostBytes {
+	if n := len(c.String()); n == 0 || n > maxLineBytes {
 		t.Errorf("%d bytes a line", n)
 	}
 }
 
 // stuck is a writer that blocks until it is released.
-type stuck struct{ until chan struct{} }
+type stuck struct{ released chan struct{} }
 
 func (s stuck) Write(p []byte) (int, error) {
-	<-s.until
+	<-s.released
 	return len(p), nil
 }
 
 // If the reader stops, lines are dropped and counted, and callers are not blocked.
-func TestFullPipeLosesCountedLines(t *testing.T) {
-	until := make(chan struct{})
-	l := New(stuck{until}, "doorvalved", hclog.Info)
-	const lines = 3 * queueLines
+func TestFullQueueDropsCountedLines(t *testing.T) {
+	released := make(chan struct{})
+	l := New(stuck{released}, "doorvalved", hclog.Info)
+	const lines = 3 * maxQueuedLines
 	for range lines {
 		l.Info(EventRefused, "request", "x")
 	}
 	lost, _ := l.Dropped()
-	close(until)
-	if lost < lines-queueLines-maxBatch || lost >= lines {
+	close(released)
+	if lost < lines-maxQueuedLines-maxBatch || lost >= lines {
 		t.Errorf("%d of %d lines lost", lost, lines)
 	}
 	l.Close()
@@ -68,7 +68,7 @@
 	var b syncbuf.Buffer
 	l := New(&b, "doorvalved", hclog.Info)
 	second := time.Now().Unix()
-	const lines = 5 * routinePerSecond
+	const lines = 5 * maxSampledPerSecond
 	for range lines {
 		answered(l.With("part", "callers"))
 	}
@@ -76,7 +76,7 @@
 	seconds := int(time.Now().Unix() - second + 1)
 	_, skipped := l.Dropped()
 	l.Close()
-	if kept := lines - int(skipped); kept > seconds*routinePerSecond {
+	if kept := lines - int(skipped); kept > seconds*maxSampledPerSecond {
 		t.Errorf("%d successes in %d s", kept, seconds)
 	}
 	if !strings.Contains(b.String(), EventRefused) {
@@ -94,7 +94,7 @@
 	}
 }
 
-func BenchmarkNoLine(b *testing.B) {
+func BenchmarkDisabledLine(b *testing.B) {
 	l := New(io.Discard, "doorvalved", hclog.Error)
 	defer l.Close()
 	b.ReportAllocs()
--- a/driver/decisions/once.go
+++ b/driver/decisions/once.go
@@ -3,7 +3,7 @@
 import "sync"
 
 // maxOnceNames bounds the names that a Once remembers; after that, no name counts as new.
-const onceNames = 64
+const maxOnceNames = 64
 
 // Once reports which names are new, for lines that are logged once per name. The zero value is
 // ready to use. It is safe for concurrent use.
@@ -17,7 +17,7 @@
 func (o *Once) First(name string) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.names[name] || len(o.names) >= onceNames {
+	if o.names[name] || len(o.names) >= maxOnceNames {
 		return false
 	}
 	if o.names == nil {
--- a/driver/decisions/once_test.go
+++ b/driver/decisions/once_test.go
@@ -6,17 +6,17 @@
 )
 
 // Each name counts as new once, and the number of remembered names is bounded.
-func TestNamesAreNewsOnce(t *testing.T) {
+func TestOnceReportsEachNameOnce(t *testing.T) {
 	var o Once
-	news := 0
+	reported := 0
 	for range 3 {
 		for i := range 1000 {
 			if o.First(fmt.Sprintf("X-%d", i)) {
-				news++
+				reported++
 			}
 		}
 	}
-	if news != onceNames {
-		t.Errorf("%d names were reported as new, want %d", news, onceNames)
+	if reported != maxOnceNames {
+		t.Errorf("%d names were reported as new, want %d", reported, maxOnceNames)
 	}
 }
