--- a/driver/decisions/log_test.go
+++ b/driver/decisions/log_test.go
@@ -11,64 +11,64 @@
 	"github.com/doorvalve/doorvalve/internal/syncbuf"
 )
 
-// answered writes the line that each served request costs.
+// answered writes the line that is logged for each served request.
 func answered(l *Log) {
 	l.InfoSampled(EventAnswered, "request", "9c41d07be2a35f68", "route", "r-6z8sdh6", "model", "daka510000", "status", 200,
 		"ms", 412, "first_event_ms", 63, "waited_ms", 0, "endpoint", "i-7f3a91c2", "version", 12)
 }
 
-// Bounds of what a request's line costs. Measured when the test was written: 40
-// allocations (43 with the race detector) and 274 bytes in the log.
+// Bounds on the cost of a request's line, which is 40 allocations (43 with the race
+// detector) and 274 bytes in the log.
 const (
-	mostAllocations = 50
-	mostBytes       = 350
+	maxAllocations = 50
+	maxLineBytes   = 350
 )
 
 func TestLineIsCheap(t *testing.T) {
 	l := New(io.Discard, "doorvalved", hclog.Info)
 	defer l.Close()
-	if n := testing.AllocsPerRun(100, func() { answered(l) }); n > mostAllocations {
+	if n := testing.AllocsPerRun(100, func() { answered(l) }); n > maxAllocations {
 		t.Errorf("%.0f allocations a line", n)
 	}
 	c := &syncbuf.Buffer{}
 	one := New(c, "doorvalved", hclog.Info)
 	answered(one)
 	one.Close()
-	if n := len(c.String()); n == 0 || n > mostBytes {
+	if n := len(c.String()); n == 0 || n > maxLineBytes {
 		t.Errorf("%d bytes a line", n)
 	}
 }
 
-// stuck is a reader that has stopped.
-type stuck struct{ until chan struct{} }
+// stuck is a writer that blocks until it is released.
+type stuck struct{ released chan struct{} }
 
 func (s stuck) Write(p []byte) (int, error) {
-	<-s.until
+	<-s.released
 	return len(p), nil
 }
 
-// A reader that stops costs lines, which are counted, and delays nobody.
-func TestFullPipeLosesCountedLines(t *testing.T) {
-	until := make(chan struct{})
-	l := New(stuck{until}, "doorvalved", hclog.Info)
-	const lines = 3 * queueLines
+// If the reader stops, lines are dropped and counted, and callers are not blocked.
+func TestFullQueueDropsCountedLines(t *testing.T) {
+	released := make(chan struct{})
+	l := New(stuck{released}, "doorvalved", hclog.Info)
+	const lines = 3 * maxQueuedLines
 	for range lines {
 		l.Info(EventRefused, "request", "x")
 	}
 	lost, _ := l.Dropped()
-	close(until)
-	if lost < lines-queueLines-maxBatch || lost >= lines {
+	close(released)
+	if lost < lines-maxQueuedLines-maxBatch || lost >= lines {
 		t.Errorf("%d of %d lines lost", lost, lines)
 	}
 	l.Close()
 }
 
-// Many successes leave room for failures: they are left out and counted.
+// Successes beyond the bound are left out and counted, so that failures are still logged.
 func TestSuccessesAreSampled(t *testing.T) {
 	var b syncbuf.Buffer
 	l := New(&b, "doorvalved", hclog.Info)
 	second := time.Now().Unix()
-	const lines = 5 * routinePerSecond
+	const lines = 5 * maxSampledPerSecond
 	for range lines {
 		answered(l.With("part", "callers"))
 	}
@@ -76,11 +76,11 @@
 	seconds := int(time.Now().Unix() - second + 1)
 	_, skipped := l.Dropped()
 	l.Close()
-	if kept := lines - int(skipped); kept > seconds*routinePerSecond {
+	if kept := lines - int(skipped); kept > seconds*maxSampledPerSecond {
 		t.Errorf("%d successes in %d s", kept, seconds)
 	}
 	if !strings.Contains(b.String(), EventRefused) {
-		t.Error("the refusal found no room")
+		t.Error("the refusal was not logged")
 	}
 }
 
@@ -94,7 +94,7 @@
 	}
 }
 
-func BenchmarkNoLine(b *testing.B) {
+func BenchmarkDisabledLine(b *testing.B) {
 	l := New(io.Discard, "doorvalved", hclog.Error)
 	defer l.Close()
 	b.ReportAllocs()
--- a/driver/storeview/storeview_test.go
+++ b/driver/storeview/storeview_test.go
@@ -24,44 +24,44 @@
 	"github.com/doorvalve/doorvalve/transport/peers"
 )
 
-// fakeStore is a store in virtual time. Watches that are open when it goes
-// silent hear nothing any more; new calls are answered. It names no generation before it
-// is told to.
+// fakeStore is a store in virtual time. Watches that are open when hangWatches is called
+// are never answered; new calls are. Its generation is 0 until a test sets it or restores
+// the store.
 type fakeStore struct {
-	mu         sync.Mutex
-	generation uint64
-	revision   uint64
-	oldest     uint64 // watches from before have lost their history
-	config     uint64 // version of the desired state, as of configAt
-	configAt   uint64
-	list       []*fleet.Endpoint
-	unusable   []discovery.Unusable
-	changes    []discovery.Change
-	away       bool
-	silent     int           // watches of earlier numbers hear nothing
-	changed    chan struct{} // closed at the next change
-	calls      int
-	failed     int
-	padding    int  // bytes added to the desired state
-	plain      bool // they can be packed
+	mu              sync.Mutex
+	generation      uint64
+	revision        uint64
+	oldest          uint64 // watches from an earlier revision have lost their history
+	desiredVersion  uint64 // version of the desired state, as of configAt
+	desiredRevision uint64
+	list            []*fleet.Endpoint
+	unusable        []discovery.Unusable
+	changes         []discovery.Change
+	unreachable     bool
+	hungBelow       int           // calls with lower numbers are never answered if they are watches
+	changed         chan struct{} // closed at the next change
+	calls           int
+	failed          int
+	padding         int  // number of bytes added to the desired state
+	compressible    bool // the padding compresses well
 }
 
 func newFakeStore() *fakeStore {
-	return &fakeStore{revision: 1, config: 1, configAt: 1, changed: make(chan struct{})}
+	return &fakeStore{revision: 1, desiredVersion: 1, desiredRevision: 1, changed: make(chan struct{})}
 }
 
-var errAway = errors.New("the store is away")
+var errUnreachable = errors.New("the store is unreachable")
 
 func (s *fakeStore) call() (number int, err error) {
 	s.calls++
-	if s.away {
+	if s.unreachable {
 		s.failed++
-		return s.calls, errAway
+		return s.calls, errUnreachable
 	}
 	return s.calls, nil
 }
 
-func (s *fakeStore) tell() {
+func (s *fakeStore) notify() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
@@ -75,7 +75,7 @@
 	s.drop(e.ID)
 	s.list = append(s.list, &e)
 	s.changes = append(s.changes, discovery.Change{ID: e.ID, Endpoint: &e, Version: s.now()})
-	s.tell()
+	s.notify()
 }
 
 // remove removes an endpoint's entry.
@@ -85,17 +85,17 @@
 	s.revision++
 	s.drop(id)
 	s.changes = append(s.changes, discovery.Change{ID: id, Removed: true, Version: s.now()})
-	s.tell()
+	s.notify()
 }
 
-// drop takes an entry out; the caller holds the mutex.
+// drop deletes an entry; the caller holds the mutex.
 func (s *fakeStore) drop(id string) {
 	s.list = slices.DeleteFunc(s.list, func(o *fleet.Endpoint) bool { return o.ID == id })
 	s.unusable = slices.DeleteFunc(s.unusable, func(u discovery.Unusable) bool { return u.ID == id })
 }
 
-// spoil makes an entry name no endpoint to use, as by another writer.
-func (s *fakeStore) spoil(id string) {
+// corrupt makes an entry unusable, as another writer might.
+func (s *fakeStore) corrupt(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.revision++
@@ -103,29 +103,29 @@
 	u := discovery.Unusable{ID: id, Version: s.now(), Reason: errors.New("no address")}
 	s.unusable = append(s.unusable, u)
 	s.changes = append(s.changes, discovery.Change{ID: id, Unusable: &u, Version: s.now()})
-	s.tell()
+	s.notify()
 }
 
-func (s *fakeStore) setConfig(version uint64) {
+func (s *fakeStore) setDesired(version uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.revision++
-	s.config, s.configAt = version, s.revision
-	s.tell()
+	s.desiredVersion, s.desiredRevision = version, s.revision
+	s.notify()
 }
 
-func (s *fakeStore) setAway(away bool) {
+func (s *fakeStore) setUnreachable(unreachable bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.away = away
-	s.tell()
+	s.unreachable = unreachable
+	s.notify()
 }
 
-// goSilent silences the watches that are open now.
-func (s *fakeStore) goSilent() {
+// hangWatches keeps the watches that are open now from being answered.
+func (s *fakeStore) hangWatches() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.silent = s.calls + 1
+	s.hungBelow = s.calls + 1
 }
 
 func (s *fakeStore) counts() (calls, failed int) {
@@ -136,8 +136,8 @@
 
 func encodeVersion(v uint64) []byte { return binary.BigEndian.AppendUint64(nil, v) }
 
-// large is the size of a desired state that polls do not carry.
-const large = inlineConfig + 1
+// large is the size of a desired state that answers to polls do not include.
+const large = maxInlineDesired + 1
 
 func decodeVersion(raw []byte) (*routing.Table, error) {
 	return &routing.Table{Version: binary.BigEndian.Uint64(raw)}, nil
@@ -148,31 +148,31 @@
 	return storeversion.Version{Generation: s.generation, Revision: s.revision}
 }
 
-// storeCopy is what a fakeStore can be restored from.
+// storeCopy is a copy of a fakeStore's content, for a restore.
 type storeCopy struct {
-	revision, config, configAt uint64
-	list                       []*fleet.Endpoint
-	unusable                   []discovery.Unusable
+	revision, desiredVersion, desiredRevision uint64
+	list                                      []*fleet.Endpoint
+	unusable                                  []discovery.Unusable
 }
 
 func (s *fakeStore) copyNow() storeCopy {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return storeCopy{s.revision, s.config, s.configAt, slices.Clone(s.list), slices.Clone(s.unusable)}
+	return storeCopy{s.revision, s.desiredVersion, s.desiredRevision, slices.Clone(s.list), slices.Clone(s.unusable)}
 }
 
-// restore brings the store back from a copy: what was acknowledged since is lost, and its
-// revisions are given out again.
+// restore restores the store from a copy: writes acknowledged since the copy are lost, and their
+// revisions are assigned again.
 func (s *fakeStore) restore(c storeCopy) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.generation++
-	s.revision, s.config, s.configAt = c.revision, c.config, c.configAt
+	s.revision, s.desiredVersion, s.desiredRevision = c.revision, c.desiredVersion, c.desiredRevision
 	s.list, s.unusable = nil, nil
 	for _, e := range c.list {
-		again := *e
-		again.Version.Generation = s.generation
-		s.list = append(s.list, &again)
+		restored := *e
+		restored.Version.Generation = s.generation
+		s.list = append(s.list, &restored)
 	}
 	for _, u := range c.unusable {
 		u.Version.Generation = s.generation
@@ -180,7 +180,7 @@
 	}
 	s.changes = nil
 	s.oldest = c.revision
-	s.tell()
+	s.notify()
 }
 
 func (s *fakeStore) ListEndpoints(context.Context) ([]*fleet.Endpoint, storeversion.Version, []discovery.Unusable, error) {
@@ -201,8 +201,8 @@
 	return s.encoded(), s.now(), nil
 }
 
-// lostHistory returns an error for a watch from a revision that the store cannot tell the changes
-// since; the caller holds the mutex.
+// lostHistory returns an error for a watch from a revision since which the store does not have all
+// changes; the caller holds the mutex.
 func (s *fakeStore) lostHistory(since uint64) error {
 	if since < s.oldest || since > s.revision {
 		return discovery.ErrHistoryLost
@@ -212,28 +212,28 @@
 
 func (s *fakeStore) encoded() []byte {
 	padding := make([]byte, s.padding)
-	if !s.plain {
+	if !s.compressible {
 		_, _ = rand.NewChaCha8([32]byte{}).Read(padding) // never fails
 	}
-	return append(encodeVersion(s.config), padding...)
+	return append(encodeVersion(s.desiredVersion), padding...)
 }
 
-// wait blocks until ready says that there is something to tell, the wait is
-// over or the store is away. ready is called with the mutex held.
+// wait blocks until ready reports that there is an answer, the wait is over or
+// the store is unreachable. ready is called with the mutex held.
 func (s *fakeStore) wait(ctx context.Context, d time.Duration, ready func() bool) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	number, err := s.call()
 	end := time.Now().Add(d)
 	for err == nil {
-		heard := number >= s.silent
+		answered := number >= s.hungBelow
 		left := time.Until(end)
 		switch {
-		case heard && s.away:
-			return errAway
-		case heard && (ready() || left <= 0):
+		case answered && s.unreachable:
+			return errUnreachable
+		case answered && (ready() || left <= 0):
 			return nil
-		case !heard:
+		case !answered:
 			left = time.Hour
 		}
 		changed := s.changed
@@ -273,20 +273,20 @@
 func (s *fakeStore) WatchDesiredState(ctx context.Context, since storeversion.Version, wait, slack time.Duration) (raw []byte, version storeversion.Version, err error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+slack)
 	defer cancel()
-	err = s.wait(ctx, wait, func() bool { return s.configAt > since.Revision || s.lostHistory(since.Revision) != nil })
+	err = s.wait(ctx, wait, func() bool { return s.desiredRevision > since.Revision || s.lostHistory(since.Revision) != nil })
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if lost := s.lostHistory(since.Revision); err == nil && lost != nil {
 		return nil, s.now(), lost
 	}
-	if s.configAt > since.Revision {
+	if s.desiredRevision > since.Revision {
 		raw = s.encoded()
 	}
 	return raw, s.now(), err
 }
 
-// leaveWithin is the bound that the views of the tests work to, but for
-// longDrain; answerWithin is how long a call may hang.
+// leaveWithin is the propagation bound of the views in these tests, except those
+// with longDrain; answerWithin is how long a call may hang.
 const (
 	leaveWithin = 2 * time.Second
 	longDrain   = 8 * time.Second
@@ -315,7 +315,7 @@
 	})
 }
 
-// atOffsets runs a test in virtual time at different phases of what repeats.
+// atOffsets runs a test in virtual time at different phases of the periodic calls.
 func atOffsets(t *testing.T, f func(b *bubble, offset time.Duration)) {
 	for offset := time.Duration(0); offset < 2*time.Second; offset += 130 * time.Millisecond {
 		inBubble(t, func(b *bubble) { f(b, offset) })
@@ -338,58 +338,58 @@
 	return v
 }
 
-func (v *View) takes(id string) bool {
+func (v *View) routable(id string) bool {
 	e := v.Endpoints().ByID[id]
 	return e != nil && !e.Leaving
 }
 
-// Open connections to the store go silent without a reset. The platform expects
-// this daemon to be up to date again a stable window, three seconds, later.
+// Open connections to the store become unresponsive without a reset. The platform expects
+// this daemon to be up to date again after a stable window of three seconds.
 func TestSilentWatchIsNoticed(t *testing.T) {
 	inBubble(t, func(b *bubble) {
 		s := newFakeStore()
 		s.setEndpoint(fleet.Endpoint{ID: "a", Service: "llm"})
 		v := b.view(s, nil)
 		time.Sleep(5 * time.Second)
-		if v.Table().Version != 1 || !v.takes("a") {
+		if v.Table().Version != 1 || !v.routable("a") {
 			t.Fatal("the view did not follow the store")
 		}
-		s.goSilent()
-		s.setConfig(2)
+		s.hangWatches()
+		s.setDesired(2)
 		s.setEndpoint(fleet.Endpoint{ID: "a", Service: "llm", Leaving: true})
 		time.Sleep(2500 * time.Millisecond)
 		if v.Table().Version != 2 {
-			t.Error("a silent watch of the desired state was not noticed")
+			t.Error("an unresponsive watch of the desired state was not detected")
 		}
-		if v.takes("a") {
-			t.Error("a silent watch of the endpoints was not noticed")
+		if v.routable("a") {
+			t.Error("an unresponsive watch of the endpoints was not detected")
 		}
 	})
 }
 
-// upstream is another daemon's view as a peer: reachable, or silent.
+// upstream is another daemon's view as a peer, which can be made unresponsive.
 type upstream struct {
 	fleetpb.Fleet
-	view *View
-	mu   sync.Mutex
-	mute bool
-	// late is how long its answers are on their way.
+	view   *View
+	mu     sync.Mutex
+	frozen bool
+	// late is the transfer time of its answers.
 	late time.Duration
-	// longest is the time of the longest poll.
+	// longest is the duration of the longest poll.
 	longest time.Duration
 }
 
-func (u *upstream) setMute(mute bool) {
+func (u *upstream) setFrozen(frozen bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.mute = mute
+	u.frozen = frozen
 }
 
 func (u *upstream) Follow(ctx context.Context, req *fleetpb.FollowRequest) (*fleetpb.FollowResponse, error) {
 	u.mu.Lock()
-	mute, late := u.mute, u.late
+	frozen, late := u.frozen, u.late
 	u.mu.Unlock()
-	if mute {
+	if frozen {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
@@ -405,8 +405,8 @@
 	return resp, err
 }
 
-// follower returns a running view that takes from others, and its own way to
-// the store.
+// follower returns a running view that copies from upstreams, the first one preferred, and reads the
+// store s if it must.
 func (b *bubble) follower(s Store, order ...*upstream) *View {
 	list := make([]fleetpb.Fleet, len(order))
 	for i, u := range order {
@@ -418,65 +418,65 @@
 	})
 }
 
-// way is the same store as one daemon reaches it.
-type way struct {
+// connection is one daemon's connection to the store.
+type connection struct {
 	*fakeStore
 	mu  sync.Mutex
 	cut bool
-	// hung says that calls for the desired state are not answered, as where a
-	// full link does not bring a large answer through; the others are.
+	// hung means that calls for the desired state are not answered, as if its
+	// large answer did not get through a full link; other calls are answered.
 	hung bool
 	n    int
 }
 
-func (w *way) setHung(hung bool) {
+func (w *connection) setHung(hung bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.hung = hung
 }
 
-func (w *way) isHung() bool {
+func (w *connection) isHung() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.hung
 }
 
-func (w *way) call() error {
+func (w *connection) call() error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.n++
 	if w.cut {
-		return errAway
+		return errUnreachable
 	}
 	return nil
 }
 
-func (w *way) setCut(cut bool) {
+func (w *connection) setCut(cut bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.cut = cut
 }
 
-func (w *way) isCut() bool {
+func (w *connection) isCut() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.cut
 }
 
-func (w *way) calls() int {
+func (w *connection) calls() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.n
 }
 
-func (w *way) ListEndpoints(ctx context.Context) ([]*fleet.Endpoint, storeversion.Version, []discovery.Unusable, error) {
+func (w *connection) ListEndpoints(ctx context.Context) ([]*fleet.Endpoint, storeversion.Version, []discovery.Unusable, error) {
 	if err := w.call(); err != nil {
 		return nil, storeversion.Version{}, nil, err
 	}
 	return w.fakeStore.ListEndpoints(ctx)
 }
 
-func (w *way) ReadDesiredState(ctx context.Context) ([]byte, storeversion.Version, error) {
+func (w *connection) ReadDesiredState(ctx context.Context) ([]byte, storeversion.Version, error) {
 	if err := w.call(); err != nil {
 		return nil, storeversion.Version{}, err
 	}
@@ -489,8 +489,8 @@
 	return w.fakeStore.ReadDesiredState(ctx)
 }
 
-// A watch over a way that is cut hears nothing until it is given up on.
-func (w *way) WatchEndpoints(ctx context.Context, since storeversion.Version, wait, slack time.Duration) ([]discovery.Change, storeversion.Version, error) {
+// WatchEndpoints is not answered until it times out if the connection is cut.
+func (w *connection) WatchEndpoints(ctx context.Context, since storeversion.Version, wait, slack time.Duration) ([]discovery.Change, storeversion.Version, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+slack)
 	defer cancel()
 	if w.call() != nil {
@@ -505,7 +505,7 @@
 	return changes, version, err
 }
 
-func (w *way) WatchDesiredState(ctx context.Context, since storeversion.Version, wait, slack time.Duration) ([]byte, storeversion.Version, error) {
+func (w *connection) WatchDesiredState(ctx context.Context, since storeversion.Version, wait, slack time.Duration) ([]byte, storeversion.Version, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+slack)
 	defer cancel()
 	if w.call() != nil {
@@ -520,36 +520,36 @@
 	return raw, version, err
 }
 
-// pair is two daemons that follow the store and one that takes from them.
+// pair is two watchers and a follower that copies from them.
 type pair struct {
-	store    *fakeStore
-	ways     [3]*way
-	first    *upstream
-	second   *upstream
-	follower *View
+	store       *fakeStore
+	connections [3]*connection
+	first       *upstream
+	second      *upstream
+	follower    *View
 }
 
 func (b *bubble) pair() *pair {
 	p := &pair{store: newFakeStore()}
-	for i := range p.ways {
-		p.ways[i] = &way{fakeStore: p.store}
+	for i := range p.connections {
+		p.connections[i] = &connection{fakeStore: p.store}
 	}
-	named := func(name string) func(*Options) { return func(o *Options) { o.Self = name } }
+	withName := func(name string) func(*Options) { return func(o *Options) { o.Self = name } }
 	p.store.setEndpoint(fleet.Endpoint{ID: "a", Service: "llm"})
 	p.store.setEndpoint(fleet.Endpoint{ID: "b", Service: "llm"})
-	p.first = &upstream{view: b.view(p.ways[0], named("first"))}
-	p.second = &upstream{view: b.view(p.ways[1], named("second"))}
-	p.follower = b.follower(p.ways[2], p.first, p.second)
+	p.first = &upstream{view: b.view(p.connections[0], withName("first"))}
+	p.second = &upstream{view: b.view(p.connections[1], withName("second"))}
+	p.follower = b.follower(p.connections[2], p.first, p.second)
 	time.Sleep(5 * time.Second)
-	if p.follower.Table().Version != 1 || !p.follower.takes("a") || !p.follower.takes("b") {
-		b.t.Fatal("the follower does not know what the others know")
+	if p.follower.Table().Version != 1 || !p.follower.routable("a") || !p.follower.routable("b") {
+		b.t.Fatal("the follower does not have the state of the watchers")
 	}
 	return p
 }
 
-// change writes what must be in force within the drain bound.
+// change writes changes that must be in force within the propagation bound.
 func (p *pair) change() {
-	p.store.setConfig(2)
+	p.store.setDesired(2)
 	p.store.setEndpoint(fleet.Endpoint{ID: "a", Service: "llm", Leaving: true})
 	p.store.remove("b")
 }
@@ -559,20 +559,20 @@
 	if p.follower.Table().Version != 2 {
 		t.Error("the desired state is not in force")
 	}
-	if p.follower.takes("a") || p.follower.takes("b") {
-		t.Error("endpoints that leave or are gone still take requests")
+	if p.follower.routable("a") || p.follower.routable("b") {
+		t.Error("leaving or removed endpoints still get requests")
 	}
 }
 
-// In calm, a daemon that takes from others makes no call to the store, and
-// hears of changes as soon as they do.
+// Without faults, a follower makes no call to the store, and receives changes as soon as
+// its upstreams do.
 func TestFollowerNeedsNoStore(t *testing.T) {
 	inBubble(t, func(b *bubble) {
 		p := b.pair()
-		before := p.ways[2].calls()
+		before := p.connections[2].calls()
 		time.Sleep(time.Minute)
-		if n := p.ways[2].calls() - before; n != 0 {
-			t.Errorf("%d calls to the store in a calm minute", n)
+		if n := p.connections[2].calls() - before; n != 0 {
+			t.Errorf("%d calls to the store in a minute without faults", n)
 		}
 		p.change()
 		time.Sleep(600 * time.Millisecond)
@@ -580,20 +580,20 @@
 	})
 }
 
-// Whatever happens to the daemon that it takes from, a follower that reaches
-// the store has a change in force within the drain bound of its confirmation.
+// Under any fault of its upstreams, a follower that reaches the store has a change in force
+// within the propagation bound after its confirmation.
 func TestFollowerKeepsTheBound(t *testing.T) {
-	for name, harm := range map[string]func(p *pair){
-		"upstream frozen":        func(p *pair) { p.first.setMute(true) },
-		"both upstreams frozen":  func(p *pair) { p.first.setMute(true); p.second.setMute(true) },
-		"upstream cut off":       func(p *pair) { p.ways[0].setCut(true) },
-		"both upstreams cut off": func(p *pair) { p.ways[0].setCut(true); p.ways[1].setCut(true) },
+	for name, disturb := range map[string]func(p *pair){
+		"upstream frozen":        func(p *pair) { p.first.setFrozen(true) },
+		"both upstreams frozen":  func(p *pair) { p.first.setFrozen(true); p.second.setFrozen(true) },
+		"upstream cut off":       func(p *pair) { p.connections[0].setCut(true) },
+		"both upstreams cut off": func(p *pair) { p.connections[0].setCut(true); p.connections[1].setCut(true) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			atOffsets(t, func(b *bubble, offset time.Duration) {
 				p := b.pair()
 				time.Sleep(offset)
-				harm(p)
+				disturb(p)
 				p.change()
 				time.Sleep(leaveWithin - 400*time.Millisecond)
 				p.inForce(t)
@@ -602,12 +602,12 @@
 	}
 }
 
-// A daemon that the store turns away hears of changes through the others.
-func TestFollowerThatTheStoreTurnsAway(t *testing.T) {
+// A daemon that the store rejects receives changes through other daemons.
+func TestRejectedFollowerReceivesChanges(t *testing.T) {
 	inBubble(t, func(b *bubble) {
 		p := b.pair()
-		p.ways[2].setCut(true)
-		p.ways[0].setCut(true)
+		p.connections[2].setCut(true)
+		p.connections[0].setCut(true)
 		time.Sleep(5 * time.Second)
 		p.change()
 		time.Sleep(leaveWithin)
@@ -615,38 +615,38 @@
 	})
 }
 
-// Entries that one upstream still keeps in their grace, and the next does not
-// know, are not kept for ever.
+// Entries that one upstream still keeps in their grace period, and that the next upstream
+// does not have, are not kept for ever.
 func TestFollowerForgetsWithItsUpstream(t *testing.T) {
 	inBubble(t, func(b *bubble) {
 		p := b.pair()
-		p.store.setAway(true)
+		p.store.setUnreachable(true)
 		time.Sleep(3 * time.Second)
 		p.store.remove("a")
-		p.ways[2].setCut(true) // it hears of the return through others only
-		p.store.setAway(false)
+		p.connections[2].setCut(true) // it receives the data of the returned store through others only
+		p.store.setUnreachable(false)
 		time.Sleep(1500 * time.Millisecond)
-		p.first.setMute(true)
-		p.second.setMute(true)
+		p.first.setFrozen(true)
+		p.second.setFrozen(true)
 		time.Sleep(4 * time.Second)
-		p.second.setMute(false)
-		time.Sleep(4 * time.Second) // a poll that began before at each, given up on
-		if p.follower.takes("a") {
-			t.Error("an entry is kept that nobody names any more")
+		p.second.setFrozen(false)
+		time.Sleep(4 * time.Second) // until the earlier polls of both have timed out
+		if p.follower.routable("a") {
+			t.Error("an entry is kept that neither the store nor an upstream has")
 		}
-		if !p.follower.takes("b") {
-			t.Error("an entry that stayed is gone")
+		if !p.follower.routable("b") {
+			t.Error("an entry that the store has was dropped")
 		}
 	})
 }
 
-// Calls to a store that is away grow rarer.
-func TestFailedCallsGrowRarer(t *testing.T) {
+// The pause between calls to an unreachable store grows.
+func TestPauseAfterFailedCallsGrows(t *testing.T) {
 	inBubble(t, func(b *bubble) {
 		s := newFakeStore()
 		b.view(s, nil)
 		time.Sleep(5 * time.Second)
-		s.setAway(true)
+		s.setUnreachable(true)
 		time.Sleep(10 * time.Second)
 		if _, failed := s.counts(); failed > 28 {
 			t.Errorf("%d failed calls in ten seconds", failed)
@@ -654,16 +654,16 @@
 	})
 }
 
-// A daemon that starts beside others learns from them what it needs, without a
-// call to the store; one that starts alone asks the store.
-func TestStartBesideOthersNeedsNoStore(t *testing.T) {
+// A daemon that starts while others run copies its state from them, without a call to the
+// store; a daemon that starts alone reads the store.
+func TestStartWithPeersNeedsNoStore(t *testing.T) {
 	inBubble(t, func(b *bubble) {
 		p := b.pair()
-		own := &way{fakeStore: p.store}
+		own := &connection{fakeStore: p.store}
 		started := b.follower(own, p.first, p.second)
 		time.Sleep(startGrace)
-		if started.Table() == nil || !started.takes("a") {
-			t.Error("the others were not asked")
+		if started.Table() == nil || !started.routable("a") {
+			t.Error("the state was not copied from the other daemons")
 		}
 		time.Sleep(time.Minute)
 		if n := own.calls(); n != 0 {
@@ -671,14 +671,14 @@
 		}
 		alone := b.view(p.store, nil)
 		time.Sleep(2 * startGrace)
-		if alone.Table() == nil || !alone.takes("a") {
-			t.Error("the store was not asked")
+		if alone.Table() == nil || !alone.routable("a") {
+			t.Error("the store was not read")
 		}
 	})
 }
 
-// Where endpoints have long to leave, silent connections are noticed as early
-// as anywhere, and polls end before calls between daemons time out.
+// With a long propagation bound, unresponsive connections are still detected as early as
+// otherwise, and polls end before calls between daemons time out.
 func TestLongDrainBound(t *testing.T) {
 	inBubble(t, func(b *bubble) {
 		s := newFakeStore()
@@ -697,33 +697,33 @@
 		if longest == 0 || longest >= peers.CallTimeout {
 			t.Errorf("a poll took %v", longest)
 		}
-		s.goSilent()
-		s.setConfig(2)
+		s.hangWatches()
+		s.setDesired(2)
 		time.Sleep(2500 * time.Millisecond)
 		if v.Table().Version != 2 {
-			t.Error("a silent watch of the desired state was not noticed")
+			t.Error("an unresponsive watch of the desired state was not detected")
 		}
 	})
 }
 
-// A large desired state does not travel through the upstream, whose link would
-// not carry it to all: the follower is told and reads it from the store, or
-// from the upstream if the store turns it away.
+// A large desired state is not sent with the answers of the upstream, whose link could not
+// carry it to all followers: the follower receives its version and reads it from the store,
+// or from the upstream if the store rejects the follower.
 func TestLargeDesiredStateIsReadFromTheStore(t *testing.T) {
 	for _, cut := range []bool{false, true} {
 		inBubble(t, func(b *bubble) {
 			p := b.pair()
-			p.ways[2].setCut(cut)
-			before := p.ways[2].calls()
+			p.connections[2].setCut(cut)
+			before := p.connections[2].calls()
 			p.store.mu.Lock()
 			p.store.padding = large
 			p.store.mu.Unlock()
-			p.store.setConfig(2)
+			p.store.setDesired(2)
 			time.Sleep(100 * time.Millisecond)
 			if p.follower.Table().Version != 2 {
 				t.Errorf("cut off %v: not in force", cut)
 			}
-			if n := p.ways[2].calls() - before; n != 1 {
+			if n := p.connections[2].calls() - before; n != 1 {
 				t.Errorf("cut off %v: %d reads of the store", cut, n)
 			}
 		})
--- a/driver/storeview/suspended_test.go
+++ b/driver/storeview/suspended_test.go
@@ -8,13 +8,13 @@
 	"github.com/doorvalve/doorvalve/state/storeversion"
 )
 
-// What was heard before a host was suspended is as old afterwards as it is.
+// The age of the view includes the time for which its host was suspended.
 func TestAgeCountsSuspension(t *testing.T) {
 	suspended := time.Duration(0)
 	start := time.Now()
 	v := New(Options{PropagationBound: time.Second, Clock: func() time.Time { return start.Add(suspended) }})
 	v.mu.Lock()
-	v.endpoints.Listed(start, start, storeversion.Version{Revision: 1})
+	v.endpointsFollower.Listed(start, start, storeversion.Version{Revision: 1})
 	v.mu.Unlock()
 	if age := v.Age(relay.Endpoints); age != 0 {
 		t.Fatalf("%v old at once", age)
