--- a/coordination/placement/decide.go
+++ b/coordination/placement/decide.go
@@ -9,12 +9,13 @@
 	"github.com/doorvalve/doorvalve/state/bundle"
 )
 
-// evictionPatience is how long room that is being made for a unit keeps the
-// unit from asking for more room.
+// evictionBackoff is the minimum time between two evictions for the same unit,
+// so that the memory of the first can be freed before more is evicted.
 const evictionPatience = 5 * time.Second
 
-// decide changes o, the object to be recorded, and reports whether it did.
-// It runs only under a held lease on an object that the lease's fence wrote.
+// decide updates o, the object to be recorded, and reports whether it changed.
+// It must only run while the lease is held, on an object that was written
+// under the lease's fence.
 func (m *Machine) decide(now time.Time, o *Object) bool {
 	m.refillTokens(now)
 	changed := m.removeConfirmed(now, o)
@@ -32,10 +33,10 @@
 
 // removeConfirmed drops assignments whose unload the endpoint has confirmed.
 //
-// Invariant: the confirming state was asked for after the unload was recorded
-// and after the endpoint accepted this fence. Where the endpoint does not
-// check numbers, every order that could still load the unit has lapsed and
-// every former holder has said that it is quiescent, or is gone.
+// Invariant: the confirming state was requested after the unload was recorded
+// and after the endpoint accepted this fence. If the endpoint does not check
+// fencing numbers, every order that could still load the unit has expired, and
+// every former holder has reported that it is quiescent or has been removed.
 func (m *Machine) removeConfirmed(now time.Time, o *Object) bool {
 	return o.remove(func(a Assignment) bool {
 		ep := m.endpoints[a.Endpoint]
@@ -61,7 +62,9 @@
 	})
 }
 
-// reconcile unloads what the bundle no longer wants.
+// reconcile unloads replicas that the bundle no longer allows: of an unknown
+// unit or another version, on an endpoint that is leaving or not configured,
+// beyond the maximum number, or of an adapter without its loaded base model.
 func (m *Machine) reconcile(o *Object) bool {
 	changed := false
 	kept := map[string]int{}
@@ -87,9 +90,9 @@
 	return changed
 }
 
-// adopt records replicas that the endpoints have and the record has not. One
+// adopt records replicas that endpoints report and the object lacks. A replica
 // that the bundle does not allow is recorded as unloading, so that it counts
-// until it is gone.
+// until its removal is confirmed.
 func (m *Machine) adopt(o *Object) bool {
 	changed := false
 	for _, name := range m.endpointNames() {
@@ -118,7 +121,8 @@
 	return changed
 }
 
-// unloadIdle unloads replicas that the policy no longer thinks worth keeping.
+// unloadIdle unloads replicas that have been idle for as long as the policy
+// keeps them.
 func (m *Machine) unloadIdle(now time.Time, o *Object) bool {
 	if m.opt.Policy == nil {
 		return false
@@ -161,8 +165,8 @@
 	return n
 }
 
-// idle reports whether a replica is ready and nobody uses or awaits it, nor
-// an adapter on it.
+// idle reports whether a replica is ready, no request uses or waits for its
+// unit, and no adapter depends on it.
 func (m *Machine) idle(o *Object, a *Assignment) bool {
 	ep := m.endpoints[a.Endpoint]
 	if ep == nil || !ready(ep, a.Unit) || ep.unit(a.Unit).Running > 0 {
@@ -187,13 +191,14 @@
 	return since
 }
 
-// wish is a unit that wants one more replica.
+// loadRequest asks for one more replica of a unit.
 type wish struct {
 	unit  bundle.Unit
 	worth int64
 }
 
-// placeDemanded assigns endpoints to units in order of worth.
+// placeDemanded assigns endpoints to units in order of worth, and evicts idle
+// replicas where no endpoint has enough free memory.
 func (m *Machine) placeDemanded(now time.Time, o *Object) bool {
 	if !m.surveyed() {
 		return false
@@ -221,7 +226,8 @@
 	return changed
 }
 
-// wishes lists units that want a replica, the worthiest first.
+// loadRequests lists the units that need one more replica, in descending order
+// of worth.
 func (m *Machine) wishes(now time.Time, o *Object) []wish {
 	best := map[string]int64{}
 	want := func(unit string, worth int64) {
@@ -266,21 +272,22 @@
 	return list
 }
 
-// Worths of loads that nobody waits for yet; every waiting request goes first.
+// Worths of loads that no request waits for yet. They are negative, so that
+// loads for waiting requests come first.
 const (
 	worthOfMinimum = -1
 	worthOfPrewarm = -2
 )
 
-// needsMore reports whether requests call for one more replica: there is none, or all are ready
-// and more wait than one endpoint takes at once, or none of them takes requests now.
+// needsMore reports whether the demand requires one more replica: the unit has none, or all are
+// ready and more requests wait than one endpoint takes at once, or all of them are unavailable.
 func (m *Machine) needsMore(o *Object, unit string, d Demand) bool {
 	replicas, slots := 0, 0
 	for _, i := range o.of(unit) {
 		a := &o.Assignments[i]
 		ep := m.endpoints[a.Endpoint]
 		if a.Phase != Loaded || ep == nil || !ready(ep, unit) {
-			return false // wait for what is under way
+			return false // a load or unload is in progress
 		}
 		replicas++
 		slots = max(slots, ep.conf.Slots)
@@ -297,7 +304,7 @@
 	return false
 }
 
-// loading counts loads under way.
+// loading counts the loads in progress.
 func (m *Machine) loading(o *Object) int {
 	n := 0
 	for i := range o.Assignments {
@@ -310,11 +317,11 @@
 	return n
 }
 
-// free returns an endpoint's memory that neither the record nor the endpoint
-// itself counts as taken.
+// free returns an endpoint's memory that neither the object nor the endpoint's
+// own state counts as used.
 //
-// Invariant: everything recorded counts, in any phase; everything observed
-// and not recorded counts too; the KV reserve is never given away.
+// Invariant: every recorded replica counts, in any phase; every observed
+// replica that is not recorded counts too; units never get the KV reserve.
 func (m *Machine) free(o *Object, ep *endpoint) int64 {
 	left := min(ep.conf.MemoryMiB, ep.state.MemoryMiB) - ep.conf.KVReserveMiB
 	for i := range o.Assignments {
@@ -336,16 +343,16 @@
 	return left
 }
 
-// usable reports whether new work may be placed on ep.
+// usable reports whether new units may be placed on ep.
 func (m *Machine) usable(ep *endpoint) bool {
 	return !ep.down && !ep.leaving() && ep.stateFence == m.fence && ep.claimed == m.fence
 }
 
-// surveyed reports whether each endpoint that answers has been claimed and seen
-// under this fence.
+// surveyed reports whether every endpoint that answers has been claimed under
+// this fence and has reported its state since.
 //
-// Invariant: nothing new is placed before, since an endpoint that is not seen
-// yet may hold replicas that nobody has recorded.
+// Invariant: nothing new is placed before that, since an endpoint that has not
+// reported yet may hold replicas that are not recorded.
 func (m *Machine) surveyed() bool {
 	for _, ep := range m.endpoints {
 		if !ep.down && ep.stateFence != m.fence {
@@ -368,8 +375,9 @@
 
 var tierRank = map[protocol.Tier]int{protocol.TierMemory: 0, protocol.TierDisk: 1, protocol.TierRemote: 2, "": 2}
 
-// roomFor picks the endpoint with the nearest checkpoint, then the one that
-// is left with the most memory.
+// roomFor picks the endpoint for a new replica among those with enough free
+// memory: the one with the checkpoint in the fastest tier, then the one with
+// the most free memory.
 func (m *Machine) roomFor(o *Object, u bundle.Unit) (string, bool) {
 	best, bestRank, bestFree := "", 0, int64(0)
 	for _, name := range m.endpointNames() {
@@ -386,7 +394,8 @@
 	return best, best != ""
 }
 
-// makeRoom unloads idle replicas on the endpoint where that costs least.
+// makeRoom unloads idle replicas on the endpoint where that costs least, and
+// reports whether it unloads any.
 func (m *Machine) makeRoom(now time.Time, o *Object, w wish) bool {
 	if m.opt.Eviction == EvictNever {
 		return false
@@ -409,9 +418,9 @@
 	return len(best) > 0
 }
 
-// victims picks idle replicas, the least likely to be missed first, until the
-// wish fits. The cost is the load time they would take again, weighed by how
-// lately each was used.
+// victims picks idle replicas to unload from an endpoint, in ascending order of
+// cost, until the requested unit fits. The cost is the time to load them again,
+// weighted by how recently each was used. ok says that the unit fits then.
 func (m *Machine) victims(now time.Time, o *Object, ep *endpoint, w wish) (list []*Assignment, cost float64, ok bool) {
 	var idle []*Assignment
 	for i := range o.Assignments {
@@ -439,8 +448,8 @@
 	return list, cost, len(list) > 0 && free >= w.unit.MemoryMiB
 }
 
-// missed estimates how much a replica would be missed: its load time over the
-// time it has been idle.
+// evictionCost estimates the cost of unloading a replica: its load time over
+// the time it has been idle, or with EvictLeastRecentlyUsed the idle time alone.
 func (m *Machine) missed(now time.Time, a *Assignment) float64 {
 	idle := now.Sub(m.idleSince(a)).Seconds()
 	if m.opt.Eviction == EvictLeastRecentlyUsed {
--- a/coordination/placement/estimate.go
+++ b/coordination/placement/estimate.go
@@ -7,11 +7,11 @@
 	"github.com/doorvalve/doorvalve/state/bundle"
 )
 
-// Replica is a unit that is ready at an endpoint that takes new work.
+// Replica is a unit that is ready on an endpoint that takes new requests.
 type Replica struct {
 	Unit     string
 	Endpoint bundle.Endpoint
-	Running  int // as the endpoint reports it, with a lag
+	Running  int // as last reported by the endpoint
 }
 
 // Replicas lists the ready replicas, in order of endpoint name.
@@ -40,18 +40,18 @@
 // Wait is the expected time until a unit can take a request.
 type Wait struct {
 	Time       time.Duration
-	Reason     string        // why it cannot be served; empty when it can
-	RetryAfter time.Duration // when to come back, with Reason
+	Reason     string        // why the unit cannot be served; empty if it can
+	RetryAfter time.Duration // retry delay; set together with Reason
 }
 
-// Reasons for which a unit cannot be served now.
+// Reasons why a unit cannot be served now.
 const (
 	ReasonUnknown             = "unknown-unit"
 	ReasonNotLoadedByOperator = "not-loaded-by-operator"
 	ReasonNoLease             = "no-placement-holder"
 )
 
-// Estimate returns the wait for a unit at now.
+// Estimate returns the expected wait for a unit at now.
 func (m *Machine) Estimate(unit string, now time.Time) Wait {
 	u, known := m.conf.Units[unit]
 	if !known {
@@ -92,11 +92,11 @@
 	return Wait{Time: m.queuedLoad(now, u)}
 }
 
-// firstLook is how long the first answers of the endpoints may take.
+// firstReportWait is how long the first state reports of the endpoints may take.
 const firstLook = 100 * time.Millisecond
 
-// unseen reports whether some endpoint has neither answered nor failed yet, as
-// on a daemon that has just become the coordinator.
+// awaitingReports reports whether some endpoint has neither reported its state
+// nor failed yet, as on a daemon that has just become the coordinator.
 func (m *Machine) unseen() bool {
 	for _, ep := range m.endpoints {
 		if ep.asked.IsZero() && !ep.down {
@@ -106,8 +106,8 @@
 	return false
 }
 
-// remaining is the expected rest of a load that is recorded. One that takes
-// longer than expected is expected to take as long again as it is overdue.
+// remaining estimates the remaining time of a recorded load. An overdue load is
+// expected to take as much longer as it is overdue already.
 func (m *Machine) remaining(now time.Time, u bundle.Unit, ep *endpoint) time.Duration {
 	full := m.loadTime(u, ep)
 	start, ok := m.loadedAt[loadKey(u.Name, ep.conf.Name)]
@@ -121,10 +121,12 @@
 	return max(left, minRemaining)
 }
 
-// minRemaining keeps an estimate from promising an instant end.
+// minRemaining is the lower bound of an estimate, so that it never promises
+// that a load ends immediately.
 const minRemaining = 20 * time.Millisecond
 
-// memoryTierFactor is the part of a full load that a checkpoint in memory takes.
+// memoryTierFactor is the load time from a checkpoint in memory, as a fraction
+// of a full load.
 const memoryTierFactor = 0.1
 
 func (m *Machine) loadTime(u bundle.Unit, ep *endpoint) time.Duration {
@@ -135,8 +137,8 @@
 	return time.Duration(float64(u.Load) * factor)
 }
 
-// queuedLoad is the expected wait for a load that is not decided yet: the
-// loads before it, in rounds of as many as the weight store takes at once.
+// queuedLoad is the expected wait for a load that is not decided yet. The loads
+// ahead of it run in rounds of as many as the weight store serves at once.
 func (m *Machine) queuedLoad(now time.Time, u bundle.Unit) time.Duration {
 	ahead := m.loading(m.obj)
 	worth := m.demand[u.Name].Worth
@@ -153,7 +155,7 @@
 	return total
 }
 
-// ClaimedFence returns the lease fence that an endpoint has accepted.
+// ClaimedFence returns the lease fence that an endpoint has accepted, or 0.
 func (m *Machine) ClaimedFence(endpoint string) uint64 {
 	if ep := m.endpoints[endpoint]; ep != nil {
 		return ep.claimed
@@ -161,7 +163,8 @@
 	return 0
 }
 
-// Former lists former holders that may still have orders out.
+// Former lists former holders whose orders may still arrive. It is empty unless
+// this daemon holds the lease and has written the object under it.
 func (m *Machine) Former() []FormerHolder {
 	if !m.held || !m.mine {
 		return nil
@@ -169,11 +172,11 @@
 	return m.obj.Former
 }
 
-// SetPolicy replaces the policy.
+// SetPolicy replaces Options.Policy.
 func (m *Machine) SetPolicy(p Policy) { m.opt.Policy = p }
 
-// Unsettled reports whether requests wait or a unit is changing its state, so
-// that the endpoints are worth asking often.
+// Unsettled reports whether requests wait or a unit is changing its state. The
+// endpoints should then be polled often.
 func (m *Machine) Unsettled() bool {
 	for _, d := range m.demand {
 		if d.Waiting > 0 {
--- a/coordination/placement/machine.go
+++ b/coordination/placement/machine.go
@@ -10,49 +10,50 @@
 	"github.com/doorvalve/doorvalve/state/storeversion"
 )
 
-// OrderNumberBits is the part of an order's fencing number that counts the
-// orders sent under one lease fence. Each order has a higher number than the
-// one before, so an endpoint that checks numbers refuses an order that
-// arrives after a later one.
+// OrderNumberBits is the number of low bits of an order's fencing number that
+// count the orders sent under one lease fence. Each order has a higher number
+// than its predecessor, so an endpoint that checks fencing numbers rejects an
+// order that arrives after a later one.
 const OrderNumberBits = 24
 
 // Options configure a Machine.
 type Options struct {
 	Self        string
-	OrderTTL    time.Duration // longest life of an order
-	ResendAfter time.Duration // wait before an order without effect is repeated
-	RetryAfter  time.Duration // wait before a failed read or write is repeated
+	OrderTTL    time.Duration // time until an order expires
+	ResendAfter time.Duration // delay before an order without effect is repeated
+	RetryAfter  time.Duration // delay before a failed read or write is repeated
 	Policy      Policy
 	Eviction    Eviction
 }
 
-// Eviction says which idle replicas make room for a unit that is asked for.
+// Eviction selects the idle replicas that are unloaded to make room for a
+// requested unit.
 type Eviction int
 
-// The ways of eviction.
+// The eviction strategies.
 const (
-	// EvictCheapest unloads those that are missed least: the load time they
-	// would take again over the time they have been idle.
+	// EvictCheapest unloads the replicas with the lowest ratio of load time to
+	// idle time.
 	EvictCheapest Eviction = iota
-	// EvictOldest unloads the least recently used.
+	// EvictLeastRecentlyUsed unloads the least recently used replicas.
 	EvictLeastRecentlyUsed
 	// EvictNever unloads nothing.
 	EvictNever
 )
 
-// endpoint is what the machine knows of one endpoint.
+// endpoint is the machine's state of one endpoint.
 type endpoint struct {
 	conf        bundle.Endpoint
 	state       protocol.EngineState
 	units       map[string]*protocol.EngineUnit // of state, by name
-	asked       time.Time                       // when state was asked for; zero: never seen
-	stateFence  uint64                          // lease fence under which state was asked for
+	asked       time.Time                       // when state was requested; zero: not received yet
+	stateFence  uint64                          // lease fence under which state was requested
 	claimed     uint64                          // lease fence that the endpoint has accepted
 	down        bool
 	hostLeaving bool
-	orderOut    bool // one order at a time, so that they arrive in order
-	unsureUntil time.Time
-	sentAt      map[string]time.Time // last order for a unit
+	orderOut    bool                 // an order is in flight; one at a time, so that they arrive in order
+	unsureUntil time.Time            // a failed order may still arrive until then
+	sentAt      map[string]time.Time // last order by unit; of claims under ""
 }
 
 func (e *endpoint) leaving() bool { return e.conf.Drain || e.hostLeaving || e.state.Leaving }
@@ -69,7 +70,9 @@
 	}
 }
 
-// Machine is the placement of one group as one daemon sees it.
+// Machine is the placement of one group at one daemon. It is a state machine
+// without I/O: callers pass events and the time to Step, and carry out the
+// actions that Ready returns. It is not safe for concurrent use.
 type Machine struct {
 	opt       Options
 	conf      Config
@@ -78,31 +81,31 @@
 	held       bool
 	takeoverAt time.Time
 	fence      uint64  // of the lease held now or last
-	obj        *Object // recorded, as last read or written
+	obj        *Object // recorded state, as last read or written
 	version    storeversion.Version
-	read       bool // obj was read under the present fence
-	mine       bool // obj was written under the present fence
-	rewrite    bool // a restored platform has lost obj
+	read       bool // obj was read under the current fence
+	mine       bool // obj was written by this daemon under the current fence
+	rewrite    bool // obj must be written again: a restored platform has lost it
 
 	busy    bool
 	pending *Object
 	retryAt time.Time
-	dirty   bool // something changed since the last decision
+	dirty   bool // an event has arrived since the last decision
 	writes  uint64
 	orders  uint64
 
 	demand     map[string]Demand
 	lastActive map[string]time.Time
-	loadedAt   map[string]time.Time // first sight of a load in progress, by assignment
-	readyAt    map[string]time.Time
-	recordedAt map[uint64]time.Time // when a seq's unload was recorded
-	evicting   map[string]time.Time // unit -> room is being made since
-	slowdown   float64              // measured load time over the declared one
-	tokens     float64              // loads that may start now
+	loadedAt   map[string]time.Time // when a load was first observed, by loadKey
+	readyAt    map[string]time.Time // when a replica became ready, by loadKey
+	recordedAt map[uint64]time.Time // when an unload was recorded, by Assignment.Seq
+	evicting   map[string]time.Time // last eviction for a unit, by unit
+	slowdown   float64              // moving average of measured over declared load time
+	tokens     float64              // number of loads that may start now
 	tokensAt   time.Time
 }
 
-// New returns a machine that knows nothing yet.
+// New returns a machine without configuration, lease and recorded state.
 func New(opt Options) *Machine {
 	return &Machine{
 		opt: opt, obj: &Object{}, slowdown: 1, endpoints: map[string]*endpoint{},
@@ -111,13 +114,14 @@
 	}
 }
 
-// Object returns a copy of the recorded state as last known.
+// Object returns a copy of the recorded state as last read or written.
 func (m *Machine) Object() Object { return *m.obj.clone() }
 
-// Fence returns the fence of the lease held now or last.
+// Fence returns the fence of the lease held now or last; 0: none.
 func (m *Machine) Fence() uint64 { return m.fence }
 
-// Quiescent reports whether no order of this daemon can still arrive.
+// Quiescent reports whether no order sent by this daemon can still arrive at an
+// endpoint.
 func (m *Machine) Quiescent(now time.Time) bool {
 	for _, ep := range m.endpoints {
 		if ep.orderOut || now.Before(ep.unsureUntil) {
@@ -127,7 +131,7 @@
 	return true
 }
 
-// Step takes one event.
+// Step applies one event.
 func (m *Machine) Step(now time.Time, e Event) {
 	m.dirty = true
 	switch e := e.(type) {
@@ -160,7 +164,7 @@
 
 func (m *Machine) configure(c Config) {
 	if c.Generation < m.conf.Generation {
-		return // configuration never reverts
+		return // never go back to an older configuration
 	}
 	m.conf = c
 	seen := map[string]bool{}
@@ -198,12 +202,12 @@
 	restored := m.version.Generation < e.Version.Generation
 	m.version = e.Version
 	if restored && m.mine && e.Object.Fence <= m.fence {
-		// The holder knows what it has recorded better than the copy does.
+		// The restored copy is older than what this holder has recorded.
 		m.rewrite, m.pending = true, nil
 		return
 	}
 	m.obj = e.Object.clone()
-	// A lost answer's write that took effect is found by its id.
+	// A write whose answer was lost is recognized by its fence and holder.
 	m.mine = e.Found && e.Object.Fence == m.fence && e.Object.Holder == m.opt.Self
 	m.pending = nil
 }
@@ -213,7 +217,7 @@
 	switch e.Outcome {
 	case protocol.WriteOK:
 		if m.pending == nil {
-			return // the lease changed in between
+			return // the lease changed during the write
 		}
 		m.obj, m.version, m.pending, m.rewrite = m.pending, e.Version, nil, false
 		m.mine = m.obj.Fence == m.fence
@@ -241,7 +245,7 @@
 		ep.claimed = m.fence
 	}
 	if e.Sent && !e.OK {
-		// The order may still arrive; it lapses by itself.
+		// The order may still arrive until it expires.
 		ep.unsureUntil = now.Add(m.opt.OrderTTL)
 	}
 }
@@ -258,7 +262,7 @@
 	ep.asked, ep.stateFence, ep.down = e.RequestedAt, e.Fence, false
 }
 
-// observedUnit learns load times from the change of a unit's status.
+// observedUnit measures load times from the changes of a unit's status.
 func (m *Machine) observedUnit(now time.Time, ep *endpoint, u protocol.EngineUnit) {
 	key := loadKey(u.Unit, ep.conf.Name)
 	before := ep.unit(u.Unit)
@@ -281,7 +285,7 @@
 	}
 }
 
-// learnRate is the weight of the newest measured load time.
+// learnRate is the weight of the newest load time in the moving average.
 const learnRate = 0.3
 
 func loadKey(unit, endpoint string) string { return unit + "@" + endpoint }
@@ -301,7 +305,7 @@
 	m.demand = units
 }
 
-// Ready returns what has to be done now.
+// Ready returns the actions to carry out now.
 func (m *Machine) Ready(now time.Time) Ready {
 	var r Ready
 	if m.conf.Service.Mode != bundle.ModeManaged {
@@ -314,7 +318,7 @@
 	return r
 }
 
-// record returns the next read or write of the object.
+// record returns the next read or write of the object, if one is due.
 func (m *Machine) record(now time.Time) (read bool, w *Write) {
 	if !m.read {
 		m.busy = true
@@ -322,8 +326,8 @@
 	}
 	next := m.obj.clone()
 	if !m.mine {
-		// The first write under a new fence makes every write of an earlier
-		// holder fail, since all writes are conditional.
+		// All writes are conditional, so the first write under a new fence makes
+		// every later write of a former holder fail.
 		if next.Fence != 0 && next.Holder != "" {
 			next.Former = append(next.Former, FormerHolder{Holder: next.Holder, Fence: next.Fence})
 		}
@@ -390,11 +394,11 @@
 	return m.assignmentOrder(now, ep, Unloading, Loaded)
 }
 
-// orderInOutage wakes recorded assignments after the lease has run out.
+// orderInOutage loads recorded assignments after the lease has expired.
 //
-// Invariant: this is done only where the endpoint refuses old fencing
-// numbers, and only for what this daemon's own fence recorded; a new holder
-// claims the endpoint first, after which these orders are refused.
+// Invariant: this is done only if the endpoint rejects old fencing numbers,
+// and only for assignments recorded under this daemon's own fence. A new holder
+// claims the endpoint first, after which these orders are rejected.
 func (m *Machine) orderInOutage(now time.Time, ep *endpoint) (protocol.Order, bool) {
 	if !ep.conf.ChecksFencing || !m.mine || ep.claimed != m.fence {
 		return protocol.Order{}, false
@@ -417,7 +421,8 @@
 	return protocol.Order{}, false
 }
 
-// needed returns the order that moves the endpoint towards a, if any.
+// needed returns the order that brings the endpoint to the state that a wants,
+// if one is needed and possible now.
 func (m *Machine) needed(ep *endpoint, a *Assignment) (protocol.Order, bool) {
 	o := protocol.Order{Unit: a.Unit, Version: a.Version, Base: a.Base, MemoryMiB: a.MemoryMiB, Seq: a.Seq}
 	u := ep.unit(a.Unit)
--- a/coordination/placement/object.go
+++ b/coordination/placement/object.go
@@ -1,9 +1,9 @@
 // Package placement decides which units (models and adapters) are loaded on
 // which endpoints of one placement group. It is a state machine without I/O.
 //
-// The order of every change is: decide, record, order, observe. A replica
-// counts, and its memory is taken, from the moment it is recorded until the
-// endpoint has confirmed that it is gone.
+// Every change takes four steps: decide, record, order, observe. A replica and
+// its memory count from the moment the replica is recorded until the endpoint
+// has confirmed its removal.
 package placement
 
 import (
@@ -15,14 +15,14 @@
 	"github.com/doorvalve/doorvalve/state/storeversion"
 )
 
-// Phase is what the record wants of an assignment.
+// Phase is the desired state of an assignment.
 type Phase string
 
 // The phases of an assignment.
 const (
-	// Loaded wants the unit loaded.
+	// Loaded means that the unit is to be loaded and kept.
 	Loaded Phase = "loaded"
-	// Unloading wants it gone; it still counts.
+	// Unloading means that the unit is to be removed. It counts until then.
 	Unloading Phase = "unloading"
 )
 
@@ -35,10 +35,10 @@
 	MemoryMiB int64  `json:"memory_mib"`
 	Phase     Phase  `json:"phase"`
 	Seq       uint64 `json:"seq"`   // unique in the group
-	Fence     uint64 `json:"fence"` // lease fence under which it was recorded last
+	Fence     uint64 `json:"fence"` // lease fence under which it was last recorded
 }
 
-// FormerHolder is a daemon that lost the lease and may have orders out.
+// FormerHolder is a daemon that lost the lease and whose orders may still arrive.
 type FormerHolder struct {
 	Holder string `json:"holder"`
 	Fence  uint64 `json:"fence"`
@@ -47,14 +47,14 @@
 // Object is the recorded state of a group.
 type Object struct {
 	Holder      string         `json:"holder"`
-	Fence       uint64         `json:"fence"` // of the daemon that wrote it
+	Fence       uint64         `json:"fence"` // lease fence under which it was written
 	WriteID     string         `json:"write_id"`
 	NextSeq     uint64         `json:"next_seq"`
 	Assignments []Assignment   `json:"assignments"`
 	Former      []FormerHolder `json:"former,omitempty"`
 
-	byUnit map[string][]int // places in Assignments; nil: to be built
-	byBase map[string][]int // of adapters, by the model they stand on
+	byUnit map[string][]int // indexes into Assignments; nil: not built yet
+	byBase map[string][]int // indexes of adapters, by base model
 }
 
 func (o *Object) clone() *Object {
@@ -65,8 +65,8 @@
 	return &c
 }
 
-// index builds the lookup by unit, so that a decision's time grows with the
-// assignments and not with their square.
+// index builds byUnit and byBase if needed, so that a decision takes time
+// linear rather than quadratic in the number of assignments.
 func (o *Object) index() {
 	if o.byUnit != nil {
 		return
@@ -85,7 +85,8 @@
 	}
 }
 
-// remove drops assignments and reports whether there were any to drop.
+// remove deletes the assignments for which drop returns true, and reports
+// whether there were any.
 func (o *Object) remove(drop func(Assignment) bool) bool {
 	before := len(o.Assignments)
 	o.Assignments = slices.DeleteFunc(o.Assignments, drop)
@@ -93,19 +94,19 @@
 	return len(o.Assignments) != before
 }
 
-// of returns the places of a unit's assignments.
+// unitIndexes returns the indexes of a unit's assignments.
 func (o *Object) of(unit string) []int {
 	o.index()
 	return o.byUnit[unit]
 }
 
-// adapters returns the places of the adapters on a model.
+// adapters returns the indexes of the assignments of adapters on a model.
 func (o *Object) adapters(model string) []int {
 	o.index()
 	return o.byBase[model]
 }
 
-// replicas counts the unit's assignments, whatever their phase.
+// replicas counts a unit's assignments in any phase.
 func (o *Object) replicas(unit string) int {
 	return len(o.of(unit))
 }
@@ -130,16 +131,17 @@
 	}
 }
 
-// Config is what the bundle says about the group.
+// Config is the group's part of a bundle.
 type Config struct {
 	Generation     uint64
 	Service        bundle.Service
 	Units          map[string]bundle.Unit // of this service, by name
-	LoadsAtOnce    int                    // this group's part of the weight store's budget
-	LoadsPerSecond float64
+	LoadsAtOnce    int                    // this group's share of the weight store's budget
+	LoadsPerSecond float64                // likewise
 }
 
-// NewConfig takes a group's part out of a bundle.
+// NewConfig returns a group's part of a bundle. The weight store's budget is
+// divided equally among all managed groups, with at least one load at once each.
 func NewConfig(generation uint64, b *bundle.Bundle, service string) Config {
 	c := Config{Generation: generation, Units: map[string]bundle.Unit{}}
 	if s := b.Service(service); s != nil {
@@ -162,23 +164,23 @@
 	return c
 }
 
-// Demand is what all daemons together ask of a unit.
+// Demand is the demand of all daemons together for a unit.
 type Demand struct {
 	Waiting     int   // requests in queues
-	Unavailable int   // requests refused lately since all replicas take none now, by their own word
-	Worth       int64 // of the worthiest of both
+	Unavailable int   // requests recently refused because all replicas had reported that they take none
+	Worth       int64 // the highest of the waiting and refused requests
 	InFlight    int
-	Arrivals    int // since the last Demand
+	Arrivals    int // since the last DemandChanged
 }
 
-// Cost is what a replica costs.
+// Cost is the cost of a replica.
 type Cost struct {
 	Load  time.Duration // time to load it again
-	Share float64       // part of an accelerator's memory that it holds
+	Share float64       // share of the endpoint's accelerator memory that it holds
 }
 
-// Policy decides how long an unused replica is worth keeping and what to
-// load before it is asked for.
+// Policy decides how long an unused replica is kept and which units are loaded
+// before they are requested.
 type Policy interface {
 	Arrived(unit string, n int, now time.Time)
 	IdleFor(unit string, cost Cost, now time.Time) time.Duration
@@ -188,21 +190,21 @@
 // Event is an input of the machine.
 type Event interface{ placementEvent() }
 
-// Tick passes time on.
+// Tick only advances the time.
 type Tick struct{}
 
-// ConfigChanged brings a new generation into force.
+// ConfigChanged reports a new generation of the configuration.
 type ConfigChanged struct{ Config Config }
 
-// LeaseChanged reports the group's lease.
+// LeaseChanged reports the state of the group's lease.
 type LeaseChanged struct {
 	Held  bool
 	Fence uint64
-	// TakeoverAt is when this daemon expects to hold it; zero if unknown.
+	// TakeoverAt is when this daemon expects to hold the lease; zero if unknown.
 	TakeoverAt time.Time
 }
 
-// ReadDone reports a read of the object.
+// ReadDone reports the result of reading the object.
 type ReadDone struct {
 	Err     bool
 	Found   bool
@@ -210,41 +212,42 @@
 	Version storeversion.Version
 }
 
-// WriteDone reports the write that Ready asked for last.
+// WriteDone reports the outcome of the last write that Ready returned.
 type WriteDone struct {
 	Outcome protocol.WriteOutcome
 	Version storeversion.Version
 }
 
-// OrderDone reports how an order ended.
+// OrderDone reports the outcome of an order.
 type OrderDone struct {
 	Order protocol.Order
-	Sent  bool // false: it was certainly never sent
+	Sent  bool // false: it was certainly not sent
 	OK    bool
 }
 
-// Observed reports an endpoint's own state. Fence is the lease fence under
-// which the endpoint was claimed before the state was asked for; 0 if none.
+// Observed reports the state that an endpoint returned. Fence is the lease fence
+// under which the endpoint was claimed before the state was requested; 0 if none.
 type Observed struct {
 	State       protocol.EngineState
 	Fence       uint64
-	RequestedAt time.Time // when the state was asked for
+	RequestedAt time.Time // when the state was requested
 }
 
 // EndpointDown reports that an endpoint does not answer.
 type EndpointDown struct{ Endpoint string }
 
-// HostLeaving reports the host list's word on an endpoint.
+// HostLeaving reports whether the host list marks an endpoint as leaving.
 type HostLeaving struct {
 	Endpoint string
 	Leaving  bool
 }
 
-// DemandChanged sets the demand of all units; absent units have none.
+// DemandChanged sets the demand for all units. Units that it does not list have
+// none.
 type DemandChanged struct{ Units map[string]Demand }
 
-// FormerQuiescent reports that a former holder has no orders out any more:
-// it said so itself, or it is gone for good.
+// FormerQuiescent reports that no order of a former holder can still arrive: the
+// holder has reported so, or it has been removed for good.
 type FormerQuiescent struct{ Fence uint64 }
 
 func (Tick) placementEvent()            {}
@@ -265,7 +268,7 @@
 	ExpectedVersion storeversion.Version
 }
 
-// Ready is what the caller has to do now.
+// Ready lists the actions that the caller has to carry out now.
 type Ready struct {
 	Read   bool
 	Write  *Write
--- a/coordination/placement/placement_test.go
+++ b/coordination/placement/placement_test.go
@@ -18,17 +18,17 @@
 	memory  = 100
 	reserve = 10
 	term    = 6 * time.Second
-	ttl     = 12 * time.Second // long beside the rest, so that late orders matter
+	ttl     = 12 * time.Second // long compared with the others, so that late orders matter
 	load    = 200 * time.Millisecond
 	idle    = 300 * time.Millisecond
 )
 
-// fakeEngine is an engine that does what it is told, like a real one.
+// fakeEngine executes the orders that it accepts, as an engine does.
 type fakeEngine struct {
-	checks bool
+	checks bool // rejects orders with an old fencing number
 	fence  uint64
 	units  map[string]protocol.EngineUnit
-	until  map[string]time.Time // end of a load
+	until  map[string]time.Time // end of a load, by unit
 }
 
 func (e *fakeEngine) used() int64 {
@@ -73,7 +73,8 @@
 	return s
 }
 
-// mail is an order or its answer on its way, or an answer of the platform.
+// mail is a message on its way to a daemon, such as the answer of an endpoint or
+// of the platform, or an order that is about to be sent.
 type mail struct {
 	deliver func()
 }
@@ -98,9 +99,9 @@
 	leaseVersion storeversion.Version
 	obj          Object
 	objVersion   storeversion.Version
-	lateOrders   []func() // orders in the network whose sender gave up
+	lateOrders   []func() // orders in the network whose sender has given up
 	quiet        bool     // no faults
-	delayOrders  bool     // all of them
+	delayOrders  bool     // every order becomes a late order
 }
 
 func newWorld(t *rapid.T, checks bool) *world {
@@ -128,7 +129,7 @@
 	return w
 }
 
-// fixed is a policy of one idle time.
+// fixed is a policy with a constant idle time.
 type fixed time.Duration
 
 func (fixed) Arrived(string, int, time.Time) {}
@@ -137,7 +138,8 @@
 }
 func (fixed) Prewarm(time.Time) []string { return nil }
 
-// check holds the first two promises against the engines themselves.
+// check verifies the memory limit and the replica limit against the state of
+// the engines.
 func (w *world) check() {
 	replicas := map[string]int{}
 	for name, e := range w.engines {
@@ -162,7 +164,7 @@
 	return rapid.IntRange(1, oneIn).Draw(w.t, what) == oneIn
 }
 
-// run steps one daemon: it passes time, then its I/O goes out.
+// run steps one daemon at the current time and queues the I/O that it returns.
 func (w *world) run(d *daemon) {
 	d.l.Step(w.now, lease.Tick{})
 	lr := d.l.Ready(w.now)
@@ -237,8 +239,8 @@
 	d.send(func() { d.p.Step(w.now, WriteDone{Outcome: protocol.WriteUnknown}) })
 }
 
-// order is sent some time after it was decided; the daemon may be frozen in
-// between, but not between its last check and the send.
+// order queues an order, which is sent some time after the decision. The daemon
+// may freeze in between, but not between its last check and the send.
 func (w *world) order(d *daemon, o protocol.Order) {
 	d.send(func() {
 		fence, held := d.l.Holds(w.now)
@@ -270,9 +272,9 @@
 	}
 }
 
-// Replicas never exceed what was decided and memory is never overcommitted, as
-// counted at the engines, while daemons freeze for longer than the lease,
-// writes and answers are lost, orders arrive late and demand changes.
+// Guards against more replicas than allowed and against overcommitted memory, as
+// counted at the engines, while daemons freeze for longer than the lease's term,
+// writes and answers are lost, orders arrive late and the demand changes.
 func TestPlacementInvariants(t *testing.T) {
 	for _, checks := range []bool{true, false} {
 		t.Run(fmt.Sprintf("checks fencing %v", checks), func(t *testing.T) {
@@ -315,7 +317,7 @@
 		w.deliver(d, 1)
 	case 3:
 		w.run(d)
-	default: // an undisturbed while
+	default: // some rounds without other events
 		for range rapid.IntRange(1, 6).Draw(w.t, "rounds") {
 			w.run(d)
 			w.deliver(d, rapid.IntRange(1, 8).Draw(w.t, "delivered"))
@@ -325,7 +327,7 @@
 	}
 }
 
-// deliver hands over the oldest messages of a daemon.
+// deliver delivers up to n of a daemon's oldest messages.
 func (w *world) deliver(d *daemon, n int) {
 	for range min(n, len(d.mail)) {
 		m := d.mail[0]
@@ -334,7 +336,7 @@
 	}
 }
 
-// settle runs some daemons until nothing is left to deliver.
+// settle runs some daemons for a time and delivers all their messages.
 func (w *world) settle(d time.Duration, daemons ...*daemon) {
 	for end := w.now.Add(d); w.now.Before(end); w.now = w.now.Add(50 * time.Millisecond) {
 		for _, dm := range daemons {
@@ -345,10 +347,11 @@
 	}
 }
 
-// A holder's load order is still in the network when the holder freezes. The
-// next holder loads the same replica there, unloads it and wants it elsewhere;
-// then the old order arrives at an endpoint that does not check who sends it.
-// The replica keeps counting there until the frozen daemon has woken.
+// Guards against a second replica from a late order: a holder freezes while its
+// load order is still in the network. The next holder loads the same replica on
+// that endpoint, unloads it and places it elsewhere; then the old order arrives,
+// and the endpoint does not check fencing numbers. The replica must count at the
+// first endpoint until the frozen daemon runs again.
 func TestPlacementLateOrderOfFormerHolder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t, false)
@@ -374,18 +377,18 @@
 		w.lateOrders[0]()
 		w.check()
 		w.settle(time.Second, y)
-		w.settle(10*time.Second, x, y) // x wakes
+		w.settle(10*time.Second, x, y) // x runs again
 		y.p.Step(w.now, wanted)
 		w.settle(2*time.Second, x, y)
 		for name, e := range w.engines {
 			if _, ok := e.units["m0"]; ok == (name == first) {
-				t.Fatalf("m0 at %s: %v, after the former holder woke", name, ok)
+				t.Fatalf("m0 at %s: %v, after the former holder runs again", name, ok)
 			}
 		}
 	})
 }
 
-// After the faults have ended, every unit that is waited for gets loaded.
+// After the faults have ended, every unit with waiting requests is loaded.
 func TestPlacementMakesProgress(t *testing.T) {
 	for _, checks := range []bool{true, false} {
 		t.Run(fmt.Sprintf("checks fencing %v", checks), func(t *testing.T) {
@@ -410,7 +413,7 @@
 						}
 					}
 					if n != 1 {
-						t.Fatalf("%s has %d replicas a minute after the faults", unit, n)
+						t.Fatalf("%s has %d replicas 40 s after the last fault, want 1", unit, n)
 					}
 				}
 			})
@@ -418,8 +421,9 @@
 	}
 }
 
-// A script has loaded a model on one endpoint. The new holder has seen only the
-// other one when the model is asked for: it must not load a second replica.
+// Guards against a second replica of a model that a script has loaded on one
+// endpoint, when requests for it arrive while the new holder has received the
+// state of only the other endpoint.
 func TestPlacementSurveysBeforeItPlaces(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	m := New(Options{Self: "x", OrderTTL: ttl, ResendAfter: time.Second, RetryAfter: time.Second, Policy: fixed(time.Hour)})
@@ -453,7 +457,7 @@
 	m.Step(now, DemandChanged{Units: map[string]Demand{"m0": {Waiting: 1, Worth: 1}}})
 	m.Step(now, Observed{State: protocol.EngineState{Endpoint: "e1", MemoryMiB: memory}, Fence: 1, RequestedAt: now})
 	if orders := drive(); len(orders) > 0 {
-		t.Fatalf("loaded before all endpoints were seen: %+v", orders)
+		t.Fatalf("loaded before all endpoints had reported their state: %+v", orders)
 	}
 	m.Step(now, Observed{State: protocol.EngineState{Endpoint: "e0", MemoryMiB: memory, Units: []protocol.EngineUnit{
 		{Unit: "m0", Version: "1", Status: protocol.UnitReady, MemoryMiB: 40},
