--- a/coordination/placement/decide.go
+++ b/coordination/placement/decide.go
@@ -11,7 +11,7 @@
 
 // evictionBackoff is the minimum time between two evictions for the same unit,
 // so that the memory of the first can be freed before more is evicted.
-const evictionPatience = 5 * time.Second
+const evictionBackoff = 5 * time.Second
 
 // decide updates o, the object to be recorded, and reports whether it changed.
 // It must only run while the lease is held, on an object that was written
@@ -51,10 +51,10 @@
 			m.recordedAt[a.Seq] = now // recorded under an earlier fence
 			return false
 		}
-		if ep.stateFence != m.fence || !ep.asked.After(recorded) || ep.unit(a.Unit) != nil {
+		if ep.stateFence != m.fence || !ep.requestedAt.After(recorded) || ep.unit(a.Unit) != nil {
 			return false
 		}
-		if !ep.conf.ChecksFencing && (len(o.Former) > 0 || now.Before(ep.unsureUntil) || ep.orderOut) {
+		if !ep.conf.ChecksFencing && (len(o.Former) > 0 || now.Before(ep.orderMayArriveUntil) || ep.orderInFlight) {
 			return false
 		}
 		delete(m.recordedAt, a.Seq)
@@ -157,7 +157,7 @@
 
 func (m *Machine) loadedReplicas(o *Object, unit string) int {
 	n := 0
-	for _, i := range o.of(unit) {
+	for _, i := range o.unitIndexes(unit) {
 		if o.Assignments[i].Phase == Loaded {
 			n++
 		}
@@ -192,7 +192,7 @@
 }
 
 // loadRequest asks for one more replica of a unit.
-type wish struct {
+type loadRequest struct {
 	unit  bundle.Unit
 	worth int64
 }
@@ -204,22 +204,22 @@
 		return false
 	}
 	changed := false
-	for _, w := range m.wishes(now, o) {
+	for _, w := range m.loadRequests(now, o) {
 		if m.loading(o) >= m.conf.LoadsAtOnce || m.tokens < 1 {
 			break
 		}
 		if name, ok := m.roomFor(o, w.unit); ok {
 			o.add(w.unit, name, Loaded)
 			m.tokens--
-			delete(m.evicting, w.unit.Name)
+			delete(m.evictedAt, w.unit.Name)
 			changed = true
 			continue
 		}
-		if now.Sub(m.evicting[w.unit.Name]) < evictionPatience {
+		if now.Sub(m.evictedAt[w.unit.Name]) < evictionBackoff {
 			continue
 		}
 		if m.makeRoom(now, o, w) {
-			m.evicting[w.unit.Name] = now
+			m.evictedAt[w.unit.Name] = now
 			changed = true
 		}
 	}
@@ -228,9 +228,9 @@
 
 // loadRequests lists the units that need one more replica, in descending order
 // of worth.
-func (m *Machine) wishes(now time.Time, o *Object) []wish {
+func (m *Machine) loadRequests(now time.Time, o *Object) []loadRequest {
 	best := map[string]int64{}
-	want := func(unit string, worth int64) {
+	request := func(unit string, worth int64) {
 		u, known := m.conf.Units[unit]
 		if !known || o.replicas(unit) >= u.MaxReplicas {
 			return
@@ -245,28 +245,28 @@
 		}
 		u := m.conf.Units[name]
 		if u.Base != "" && !m.baseReady(u) {
-			want(u.Base, d.Worth)
+			request(u.Base, d.Worth)
 			continue
 		}
-		want(name, d.Worth)
+		request(name, d.Worth)
 	}
 	for name, u := range m.conf.Units {
 		if m.loadedReplicas(o, name) < u.MinReplicas {
-			want(name, worthOfMinimum)
+			request(name, worthOfMinimum)
 		}
 	}
 	if m.opt.Policy != nil {
 		for _, name := range m.opt.Policy.Prewarm(now) {
 			if o.replicas(name) == 0 {
-				want(name, worthOfPrewarm)
+				request(name, worthOfPrewarm)
 			}
 		}
 	}
-	list := make([]wish, 0, len(best))
+	list := make([]loadRequest, 0, len(best))
 	for name, worth := range best {
-		list = append(list, wish{unit: m.conf.Units[name], worth: worth})
+		list = append(list, loadRequest{unit: m.conf.Units[name], worth: worth})
 	}
-	slices.SortFunc(list, func(a, b wish) int {
+	slices.SortFunc(list, func(a, b loadRequest) int {
 		return cmp.Or(cmp.Compare(b.worth, a.worth), cmp.Compare(a.unit.Name, b.unit.Name))
 	})
 	return list
@@ -283,7 +283,7 @@
 // ready and more requests wait than one endpoint takes at once, or all of them are unavailable.
 func (m *Machine) needsMore(o *Object, unit string, d Demand) bool {
 	replicas, slots := 0, 0
-	for _, i := range o.of(unit) {
+	for _, i := range o.unitIndexes(unit) {
 		a := &o.Assignments[i]
 		ep := m.endpoints[a.Endpoint]
 		if a.Phase != Loaded || ep == nil || !ready(ep, unit) {
@@ -396,7 +396,7 @@
 
 // makeRoom unloads idle replicas on the endpoint where that costs least, and
 // reports whether it unloads any.
-func (m *Machine) makeRoom(now time.Time, o *Object, w wish) bool {
+func (m *Machine) makeRoom(now time.Time, o *Object, w loadRequest) bool {
 	if m.opt.Eviction == EvictNever {
 		return false
 	}
@@ -421,7 +421,7 @@
 // victims picks idle replicas to unload from an endpoint, in ascending order of
 // cost, until the requested unit fits. The cost is the time to load them again,
 // weighted by how recently each was used. ok says that the unit fits then.
-func (m *Machine) victims(now time.Time, o *Object, ep *endpoint, w wish) (list []*Assignment, cost float64, ok bool) {
+func (m *Machine) victims(now time.Time, o *Object, ep *endpoint, w loadRequest) (list []*Assignment, cost float64, ok bool) {
 	var idle []*Assignment
 	for i := range o.Assignments {
 		a := &o.Assignments[i]
@@ -434,7 +434,7 @@
 		idle = append(idle, a)
 	}
 	slices.SortFunc(idle, func(a, b *Assignment) int {
-		return cmp.Compare(m.missed(now, a), m.missed(now, b))
+		return cmp.Compare(m.evictionCost(now, a), m.evictionCost(now, b))
 	})
 	free := m.free(o, ep)
 	for _, a := range idle {
@@ -443,14 +443,14 @@
 		}
 		list = append(list, a)
 		free += a.MemoryMiB
-		cost += m.missed(now, a)
+		cost += m.evictionCost(now, a)
 	}
 	return list, cost, len(list) > 0 && free >= w.unit.MemoryMiB
 }
 
 // evictionCost estimates the cost of unloading a replica: its load time over
-// the time it has been idle, or with EvictLeastRecentlyUsed the idle time alone.
-func (m *Machine) missed(now time.Time, a *Assignment) float64 {
+// the time it has been idle, or with EvictLeastRecentlyUsed 1 over that time.
+func (m *Machine) evictionCost(now time.Time, a *Assignment) float64 {
 	idle := now.Sub(m.idleSince(a)).Seconds()
 	if m.opt.Eviction == EvictLeastRecentlyUsed {
 		return 1 / (1 + idle)
--- a/coordination/placement/estimate.go
+++ b/coordination/placement/estimate.go
@@ -77,8 +77,8 @@
 	if found {
 		return Wait{Time: best}
 	}
-	if m.unseen() {
-		return Wait{Time: firstLook}
+	if m.awaitingReports() {
+		return Wait{Time: firstReportWait}
 	}
 	if m.conf.Service.Mode != bundle.ModeManaged {
 		return Wait{Reason: ReasonNotLoadedByOperator, RetryAfter: time.Minute}
@@ -93,13 +93,13 @@
 }
 
 // firstReportWait is how long the first state reports of the endpoints may take.
-const firstLook = 100 * time.Millisecond
+const firstReportWait = 100 * time.Millisecond
 
 // awaitingReports reports whether some endpoint has neither reported its state
 // nor failed yet, as on a daemon that has just become the coordinator.
-func (m *Machine) unseen() bool {
+func (m *Machine) awaitingReports() bool {
 	for _, ep := range m.endpoints {
-		if ep.asked.IsZero() && !ep.down {
+		if ep.requestedAt.IsZero() && !ep.down {
 			return true
 		}
 	}
@@ -110,7 +110,7 @@
 // expected to take as much longer as it is overdue already.
 func (m *Machine) remaining(now time.Time, u bundle.Unit, ep *endpoint) time.Duration {
 	full := m.loadTime(u, ep)
-	start, ok := m.loadedAt[loadKey(u.Name, ep.conf.Name)]
+	start, ok := m.loadSeenAt[loadKey(u.Name, ep.conf.Name)]
 	if !ok {
 		return full
 	}
@@ -166,7 +166,7 @@
 // Former lists former holders whose orders may still arrive. It is empty unless
 // this daemon holds the lease and has written the object under it.
 func (m *Machine) Former() []FormerHolder {
-	if !m.held || !m.mine {
+	if !m.held || !m.written {
 		return nil
 	}
 	return m.obj.Former
--- a/coordination/placement/machine.go
+++ b/coordination/placement/machine.go
@@ -43,17 +43,17 @@
 
 // endpoint is the machine's state of one endpoint.
 type endpoint struct {
-	conf        bundle.Endpoint
-	state       protocol.EngineState
-	units       map[string]*protocol.EngineUnit // of state, by name
-	asked       time.Time                       // when state was requested; zero: not received yet
-	stateFence  uint64                          // lease fence under which state was requested
-	claimed     uint64                          // lease fence that the endpoint has accepted
-	down        bool
-	hostLeaving bool
-	orderOut    bool                 // an order is in flight; one at a time, so that they arrive in order
-	unsureUntil time.Time            // a failed order may still arrive until then
-	sentAt      map[string]time.Time // last order by unit; of claims under ""
+	conf                bundle.Endpoint
+	state               protocol.EngineState
+	units               map[string]*protocol.EngineUnit // of state, by name
+	requestedAt         time.Time                       // when state was requested; zero: not received yet
+	stateFence          uint64                          // lease fence under which state was requested
+	claimed             uint64                          // lease fence that the endpoint has accepted
+	down                bool
+	hostLeaving         bool
+	orderInFlight       bool                 // an order is in flight; one at a time, so that they arrive in order
+	orderMayArriveUntil time.Time            // a failed order may still arrive until then
+	sentAt              map[string]time.Time // last order by unit; of claims under ""
 }
 
 func (e *endpoint) leaving() bool { return e.conf.Drain || e.hostLeaving || e.state.Leaving }
@@ -84,7 +84,7 @@
 	obj        *Object // recorded state, as last read or written
 	version    storeversion.Version
 	read       bool // obj was read under the current fence
-	mine       bool // obj was written by this daemon under the current fence
+	written    bool // obj was written by this daemon under the current fence
 	rewrite    bool // obj must be written again: a restored platform has lost it
 
 	busy    bool
@@ -96,10 +96,10 @@
 
 	demand     map[string]Demand
 	lastActive map[string]time.Time
-	loadedAt   map[string]time.Time // when a load was first observed, by loadKey
+	loadSeenAt map[string]time.Time // when a load was first observed, by loadKey
 	readyAt    map[string]time.Time // when a replica became ready, by loadKey
 	recordedAt map[uint64]time.Time // when an unload was recorded, by Assignment.Seq
-	evicting   map[string]time.Time // last eviction for a unit, by unit
+	evictedAt  map[string]time.Time // last eviction for a unit, by unit
 	slowdown   float64              // moving average of measured over declared load time
 	tokens     float64              // number of loads that may start now
 	tokensAt   time.Time
@@ -109,8 +109,8 @@
 func New(opt Options) *Machine {
 	return &Machine{
 		opt: opt, obj: &Object{}, slowdown: 1, endpoints: map[string]*endpoint{},
-		demand: map[string]Demand{}, lastActive: map[string]time.Time{}, loadedAt: map[string]time.Time{},
-		readyAt: map[string]time.Time{}, recordedAt: map[uint64]time.Time{}, evicting: map[string]time.Time{},
+		demand: map[string]Demand{}, lastActive: map[string]time.Time{}, loadSeenAt: map[string]time.Time{},
+		readyAt: map[string]time.Time{}, recordedAt: map[uint64]time.Time{}, evictedAt: map[string]time.Time{},
 	}
 }
 
@@ -124,7 +124,7 @@
 // endpoint.
 func (m *Machine) Quiescent(now time.Time) bool {
 	for _, ep := range m.endpoints {
-		if ep.orderOut || now.Before(ep.unsureUntil) {
+		if ep.orderInFlight || now.Before(ep.orderMayArriveUntil) {
 			return false
 		}
 	}
@@ -188,7 +188,7 @@
 	m.held, m.takeoverAt = e.Held, e.TakeoverAt
 	if e.Held && e.Fence != m.fence {
 		m.fence = e.Fence
-		m.read, m.mine, m.rewrite, m.pending = false, false, false, nil
+		m.read, m.written, m.rewrite, m.pending = false, false, false, nil
 	}
 }
 
@@ -201,14 +201,14 @@
 	m.read = true
 	restored := m.version.Generation < e.Version.Generation
 	m.version = e.Version
-	if restored && m.mine && e.Object.Fence <= m.fence {
+	if restored && m.written && e.Object.Fence <= m.fence {
 		// The restored copy is older than what this holder has recorded.
 		m.rewrite, m.pending = true, nil
 		return
 	}
 	m.obj = e.Object.clone()
 	// A write whose answer was lost is recognized by its fence and holder.
-	m.mine = e.Found && e.Object.Fence == m.fence && e.Object.Holder == m.opt.Self
+	m.written = e.Found && e.Object.Fence == m.fence && e.Object.Holder == m.opt.Self
 	m.pending = nil
 }
 
@@ -220,7 +220,7 @@
 			return // the lease changed during the write
 		}
 		m.obj, m.version, m.pending, m.rewrite = m.pending, e.Version, nil, false
-		m.mine = m.obj.Fence == m.fence
+		m.written = m.obj.Fence == m.fence
 		for _, a := range m.obj.Assignments {
 			if _, ok := m.recordedAt[a.Seq]; a.Phase == Unloading && !ok {
 				m.recordedAt[a.Seq] = now
@@ -240,26 +240,26 @@
 	if ep == nil {
 		return
 	}
-	ep.orderOut = false
+	ep.orderInFlight = false
 	if e.Order.Kind == protocol.OrderClaim && e.OK && e.Order.Fence>>OrderNumberBits == m.fence {
 		ep.claimed = m.fence
 	}
 	if e.Sent && !e.OK {
 		// The order may still arrive until it expires.
-		ep.unsureUntil = now.Add(m.opt.OrderTTL)
+		ep.orderMayArriveUntil = now.Add(m.opt.OrderTTL)
 	}
 }
 
 func (m *Machine) observed(now time.Time, e Observed) {
 	ep := m.endpoints[e.State.Endpoint]
-	if ep == nil || e.RequestedAt.Before(ep.asked) {
+	if ep == nil || e.RequestedAt.Before(ep.requestedAt) {
 		return
 	}
 	for _, u := range e.State.Units {
 		m.observedUnit(now, ep, u)
 	}
 	ep.setState(e.State)
-	ep.asked, ep.stateFence, ep.down = e.RequestedAt, e.Fence, false
+	ep.requestedAt, ep.stateFence, ep.down = e.RequestedAt, e.Fence, false
 }
 
 // observedUnit measures load times from the changes of a unit's status.
@@ -269,19 +269,19 @@
 	switch u.Status {
 	case protocol.UnitLoading:
 		if before == nil || before.Status != protocol.UnitLoading {
-			m.loadedAt[key] = now
+			m.loadSeenAt[key] = now
 		}
 	case protocol.UnitReady:
 		if before != nil && before.Status == protocol.UnitReady {
 			return
 		}
 		m.readyAt[key] = now
-		start, ok := m.loadedAt[key]
-		want := m.conf.Units[u.Unit].Load
-		if ok && want > 0 && ep.state.Cached[u.Unit] != protocol.TierMemory {
-			m.slowdown += learnRate * (now.Sub(start).Seconds()/want.Seconds() - m.slowdown)
+		start, ok := m.loadSeenAt[key]
+		declared := m.conf.Units[u.Unit].Load
+		if ok && declared > 0 && ep.state.Cached[u.Unit] != protocol.TierMemory {
+			m.slowdown += learnRate * (now.Sub(start).Seconds()/declared.Seconds() - m.slowdown)
 		}
-		delete(m.loadedAt, key)
+		delete(m.loadSeenAt, key)
 	}
 }
 
@@ -325,7 +325,7 @@
 		return true, nil
 	}
 	next := m.obj.clone()
-	if !m.mine {
+	if !m.written {
 		// All writes are conditional, so the first write under a new fence makes
 		// every later write of a former holder fail.
 		if next.Fence != 0 && next.Holder != "" {
@@ -362,7 +362,7 @@
 	var orders []protocol.Order
 	for _, name := range m.endpointNames() {
 		ep := m.endpoints[name]
-		if ep.orderOut || ep.down && now.Sub(ep.sentAt[""]) < m.opt.ResendAfter {
+		if ep.orderInFlight || ep.down && now.Sub(ep.sentAt[""]) < m.opt.ResendAfter {
 			continue
 		}
 		if o, ok := m.orderFor(now, ep); ok {
@@ -370,7 +370,7 @@
 			o.Fence = m.fence<<OrderNumberBits | m.orders
 			o.EndpointID = name
 			o.ExpiresAt = now.Add(m.opt.OrderTTL)
-			ep.orderOut = true
+			ep.orderInFlight = true
 			ep.sentAt[o.Unit] = now
 			orders = append(orders, o)
 		}
@@ -388,7 +388,7 @@
 		}
 		return protocol.Order{Kind: protocol.OrderClaim}, true
 	}
-	if !m.mine || ep.stateFence != m.fence {
+	if !m.written || ep.stateFence != m.fence {
 		return protocol.Order{}, false
 	}
 	return m.assignmentOrder(now, ep, Unloading, Loaded)
@@ -400,7 +400,7 @@
 // and only for assignments recorded under this daemon's own fence. A new holder
 // claims the endpoint first, after which these orders are rejected.
 func (m *Machine) orderInOutage(now time.Time, ep *endpoint) (protocol.Order, bool) {
-	if !ep.conf.ChecksFencing || !m.mine || ep.claimed != m.fence {
+	if !ep.conf.ChecksFencing || !m.written || ep.claimed != m.fence {
 		return protocol.Order{}, false
 	}
 	return m.assignmentOrder(now, ep, Loaded)
--- a/coordination/placement/object.go
+++ b/coordination/placement/object.go
@@ -73,11 +73,11 @@
 	}
 	o.byUnit, o.byBase = make(map[string][]int, len(o.Assignments)), map[string][]int{}
 	for i := range o.Assignments {
-		o.enter(i)
+		o.addToIndex(i)
 	}
 }
 
-func (o *Object) enter(i int) {
+func (o *Object) addToIndex(i int) {
 	a := &o.Assignments[i]
 	o.byUnit[a.Unit] = append(o.byUnit[a.Unit], i)
 	if a.Base != "" {
@@ -95,7 +95,7 @@
 }
 
 // unitIndexes returns the indexes of a unit's assignments.
-func (o *Object) of(unit string) []int {
+func (o *Object) unitIndexes(unit string) []int {
 	o.index()
 	return o.byUnit[unit]
 }
@@ -108,11 +108,11 @@
 
 // replicas counts a unit's assignments in any phase.
 func (o *Object) replicas(unit string) int {
-	return len(o.of(unit))
+	return len(o.unitIndexes(unit))
 }
 
 func (o *Object) find(unit, endpoint string) *Assignment {
-	for _, i := range o.of(unit) {
+	for _, i := range o.unitIndexes(unit) {
 		if a := &o.Assignments[i]; a.Endpoint == endpoint {
 			return a
 		}
@@ -127,7 +127,7 @@
 		Phase: phase, Seq: o.NextSeq, Fence: o.Fence,
 	})
 	if o.byUnit != nil {
-		o.enter(len(o.Assignments) - 1)
+		o.addToIndex(len(o.Assignments) - 1)
 	}
 }
 
--- a/coordination/placement/placement_test.go
+++ b/coordination/placement/placement_test.go
@@ -39,7 +39,7 @@
 	return sum
 }
 
-func (e *fakeEngine) take(now time.Time, o protocol.Order) bool {
+func (e *fakeEngine) apply(now time.Time, o protocol.Order) bool {
 	if e.checks && o.Fence < e.fence {
 		return false
 	}
@@ -75,16 +75,16 @@
 
 // mail is a message on its way to a daemon, such as the answer of an endpoint or
 // of the platform, or an order that is about to be sent.
-type mail struct {
+type message struct {
 	deliver func()
 }
 
 type daemon struct {
-	name     string
-	l        *lease.Machine
-	p        *Machine
-	frozenTo time.Time
-	mail     []mail
+	name        string
+	l           *lease.Machine
+	p           *Machine
+	frozenUntil time.Time
+	inbox       []message
 }
 
 type world struct {
@@ -100,7 +100,7 @@
 	obj          Object
 	objVersion   storeversion.Version
 	lateOrders   []func() // orders in the network whose sender has given up
-	quiet        bool     // no faults
+	noFaults     bool     // chance always returns false
 	delayOrders  bool     // every order becomes a late order
 }
 
@@ -158,7 +158,7 @@
 }
 
 func (w *world) chance(what string, oneIn int) bool {
-	if w.quiet {
+	if w.noFaults {
 		return false
 	}
 	return rapid.IntRange(1, oneIn).Draw(w.t, what) == oneIn
@@ -179,10 +179,10 @@
 	d.p.Step(w.now, LeaseChanged{Held: held, Fence: fence})
 	for _, name := range w.names {
 		e := w.engines[name]
-		if w.quiet || w.chance("poll", 3) {
-			asked, claimed := w.now, d.p.ClaimedFence(name)
+		if w.noFaults || w.chance("poll", 3) {
+			requestedAt, claimed := w.now, d.p.ClaimedFence(name)
 			state := e.state(w.now, name)
-			d.send(func() { d.p.Step(w.now, Observed{State: state, Fence: claimed, RequestedAt: asked}) })
+			d.send(func() { d.p.Step(w.now, Observed{State: state, Fence: claimed, RequestedAt: requestedAt}) })
 		}
 	}
 	for _, f := range d.p.Former() {
@@ -201,7 +201,7 @@
 	}
 }
 
-func (d *daemon) send(f func()) { d.mail = append(d.mail, mail{f}) }
+func (d *daemon) send(f func()) { d.inbox = append(d.inbox, message{f}) }
 
 func (w *world) writeLease(d *daemon, wr lease.Write) {
 	took := false
@@ -251,18 +251,18 @@
 			return
 		}
 		if w.delayOrders || w.chance("order delayed", 3) {
-			w.lateOrders = append(w.lateOrders, func() { e.take(w.now, o) })
+			w.lateOrders = append(w.lateOrders, func() { e.apply(w.now, o) })
 			d.p.Step(w.now, OrderDone{Order: o, Sent: true})
 			return
 		}
-		ok := e.take(w.now, o)
+		ok := e.apply(w.now, o)
 		d.p.Step(w.now, OrderDone{Order: o, Sent: true, OK: ok})
 	})
 }
 
 func (w *world) askFormer(d *daemon, f FormerHolder) {
 	for _, other := range w.daemons {
-		if other.name != f.Holder || w.now.Before(other.frozenTo) {
+		if other.name != f.Holder || w.now.Before(other.frozenUntil) {
 			continue
 		}
 		fence, held := other.l.Holds(w.now)
@@ -297,13 +297,13 @@
 		w.lateOrders[i]()
 		w.lateOrders = slices.Delete(w.lateOrders, i, i+1)
 	}
-	if w.now.Before(d.frozenTo) {
+	if w.now.Before(d.frozenUntil) {
 		return
 	}
 	switch rapid.IntRange(0, 9).Draw(w.t, "event") {
 	case 0:
 		if w.chance("freeze", 3) {
-			d.frozenTo = w.now.Add(time.Duration(rapid.IntRange(1, 20).Draw(w.t, "seconds")) * time.Second)
+			d.frozenUntil = w.now.Add(time.Duration(rapid.IntRange(1, 20).Draw(w.t, "seconds")) * time.Second)
 		}
 	case 1:
 		demand := map[string]Demand{}
@@ -329,9 +329,9 @@
 
 // deliver delivers up to n of a daemon's oldest messages.
 func (w *world) deliver(d *daemon, n int) {
-	for range min(n, len(d.mail)) {
-		m := d.mail[0]
-		d.mail = d.mail[1:]
+	for range min(n, len(d.inbox)) {
+		m := d.inbox[0]
+		d.inbox = d.inbox[1:]
 		m.deliver()
 	}
 }
@@ -340,7 +340,7 @@
 func (w *world) settle(d time.Duration, daemons ...*daemon) {
 	for end := w.now.Add(d); w.now.Before(end); w.now = w.now.Add(50 * time.Millisecond) {
 		for _, dm := range daemons {
-			w.deliver(dm, len(dm.mail))
+			w.deliver(dm, len(dm.inbox))
 			w.run(dm)
 			w.check()
 		}
@@ -355,7 +355,7 @@
 func TestPlacementLateOrderOfFormerHolder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t, false)
-		w.quiet = true
+		w.noFaults = true
 		x, y := w.daemons[0], w.daemons[1]
 		w.settle(time.Second, x)
 		w.delayOrders = true
@@ -399,11 +399,11 @@
 					w.randomEvent()
 				}
 				for _, d := range w.daemons {
-					d.frozenTo = time.Time{}
+					d.frozenUntil = time.Time{}
 					d.p.Step(w.now, DemandChanged{Units: map[string]Demand{"m1": {Waiting: 1, Worth: 5}, "a0": {Waiting: 1, Worth: 3}}})
 				}
 				w.lateOrders = nil
-				w.quiet = true
+				w.noFaults = true
 				w.settle(40*time.Second, w.daemons...)
 				for _, unit := range []string{"m1", "a0"} {
 					n := 0
