--- a/coordination/balance/balance.go
+++ b/coordination/balance/balance.go
@@ -1,6 +1,6 @@
 // Package balance picks the endpoint of a request among those that can serve
-// it, from what this daemon has sent and seen itself, and from what it is told
-// that all daemons have running.
+// it. It goes by the requests and failures of this daemon, and by the number of
+// requests that all daemons together report as running.
 package balance
 
 import (
@@ -14,45 +14,46 @@
 )
 
 const (
-	// avoidFirst is how long an endpoint is avoided after a failure; it
-	// doubles with each further one up to avoidMost.
+	// avoidFirst is how long an endpoint is avoided after a failure. It
+	// doubles with each further failure up to maxAvoid.
 	avoidFirst = 300 * time.Millisecond
 	avoidMost  = 4 * time.Second
-	// goneFirst is how long an endpoint at which nothing listens gets no requests at all;
-	// it doubles with each further refusal up to avoidMost. One that has ended comes back
-	// under another id, or after seconds.
+	// unreachableFirst is how long an endpoint at which nothing listens gets no requests at
+	// all. It doubles with each further refused connection up to maxAvoid. An endpoint whose
+	// process has ended returns under another id, or after seconds.
 	goneFirst = time.Second
-	// absentFor is how long an endpoint's word that it does not hold a model
-	// counts against an older entry in the list.
+	// absentFor is how long an endpoint's report that it does not hold a model
+	// overrides an older entry in the list of endpoints.
 	absentFor = 2500 * time.Millisecond
-	// usedFor is how long a success at an endpoint vouches for its model.
+	// usedFor is how long after a success an endpoint is assumed to hold the
+	// model.
 	usedFor = 3 * time.Second
-	// runTimeUnknown is how long a request is taken to run while none has ended
-	// here.
+	// runTimeUnknown is the assumed run time of requests until one has ended at
+	// this daemon.
 	runTimeUnknown = time.Second
-	// runTimeStep is the weight of one request's run time in the mean.
+	// runTimeStep is the weight of one request's run time in the moving average.
 	runTimeStep = 0.05
 )
 
-// load is what this daemon knows of one endpoint, in one of its lives.
+// load is this daemon's state of one incarnation of an endpoint.
 type load struct {
-	running    int // sent by this daemon
-	others     int // running by the other daemons, as was told last
-	failures   int // in a row
+	running    int // running requests of this daemon
+	others     int // running requests of the other daemons, as last reported
+	failures   int // consecutive
 	avoidUntil time.Time
-	refusals   int                  // of connections, in a row
+	refusals   int                  // of connections, consecutive
 	goneUntil  time.Time            // nothing listens there until then
-	absent     map[string]time.Time // units that it does not hold, until then
-	used       map[string]time.Time // units that it has served, last time
+	absent     map[string]time.Time // by unit: not held by the endpoint until then
+	used       map[string]time.Time // by unit: last success
 }
 
-// service is what is known of a service as a whole.
+// service is the state of a service as a whole.
 type service struct {
-	toldAt  time.Time     // what is told of the others is as of then; zero: nothing is
-	runTime time.Duration // mean of the requests that have ended here
+	toldAt  time.Time     // time as of which load.others was reported; zero: never
+	runTime time.Duration // moving average of the requests that have ended at this daemon
 }
 
-// Balancer is safe for concurrent use.
+// Balancer picks endpoints for requests. It is safe for concurrent use.
 type Balancer struct {
 	domain string
 	said   *backpressure.Tracker
@@ -61,11 +62,11 @@
 	rng      *rand.Rand
 	loads    map[fleet.Incarnation]*load
 	services map[string]*service
-	daemons  int // that share the requests
+	daemons  int // number of daemons that share the requests
 }
 
-// New returns a balancer for a daemon in a failure domain, that keeps to what endpoints have
-// said. seed is for its choices between equals.
+// New returns a balancer for a daemon in a failure domain, which respects the backpressure
+// signals of endpoints. seed is for its random choices.
 func New(domain string, seed uint64, said *backpressure.Tracker) *Balancer {
 	return &Balancer{domain: domain, said: said, rng: rand.New(rand.NewPCG(seed, 0)), loads: map[fleet.Incarnation]*load{}, services: map[string]*service{}, daemons: 1}
 }
@@ -88,16 +89,16 @@
 	return s
 }
 
-// Query is what a request asks of its endpoint.
+// Query describes a request that needs an endpoint.
 type Query struct {
 	Unit     string // MODEL or MODEL/ADAPTER; empty for plain services
 	Affinity string // shared part of the prompt; empty for none
 	Exclude  []fleet.Incarnation
-	Request  backpressure.Request // the request's, in the lines of those that wait
+	Request  backpressure.Request // its order among the requests that wait for an endpoint
 }
 
 // Pick returns the endpoint for a request, or nil. Endpoints that have just failed
-// are taken only where there are no others, those that leave not at all.
+// are picked only if there are no others, and leaving endpoints never.
 func (b *Balancer) Pick(now time.Time, candidates []*fleet.Endpoint, q Query) *fleet.Endpoint {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -111,8 +112,9 @@
 	return b.pickOwn(usable, q)
 }
 
-// usable returns the endpoints that may be asked: without those that are gone or want no requests
-// now, and without those that have just failed, unless all have.
+// usable returns the candidates that may get the request. Left out are endpoints that are leaving,
+// unreachable, excluded, closed by a backpressure signal or without the unit, and those that have
+// just failed, unless all have.
 func (b *Balancer) usable(now time.Time, candidates []*fleet.Endpoint, q Query) []*fleet.Endpoint {
 	var sound, avoided []*fleet.Endpoint
 	for _, e := range candidates {
@@ -133,22 +135,22 @@
 }
 
 const (
-	// ownOtherDomain is the cost of another failure domain, in requests that this
-	// daemon has running, while it is not told what the others have.
+	// ownOtherDomain is the cost of another failure domain while there is no recent
+	// report of the other daemons' requests, in running requests of this daemon.
 	ownOtherDomain = 1.5
-	// ownAffinityMost bounds affinity in the same unit.
+	// maxOwnAffinity bounds the weight of affinity, in the same unit.
 	ownAffinityMost = 2.0
 )
 
-// pickOwn returns the endpoint at which this daemon has least running. Its own
-// requests are one part of many where many daemons share them: what keeps a prompt or a
-// failure domain together weighs against them by that part, and chance decides the rest.
+// pickByOwn picks the endpoint with the fewest running requests of this daemon. Where many
+// daemons share the requests, its own are a small share of all: affinity and failure domain
+// are therefore weighted by this daemon's share of the slots, and chance decides the rest.
 func (b *Balancer) pickOwn(usable []*fleet.Endpoint, q Query) *fleet.Endpoint {
 	var best *fleet.Endpoint
 	bestCost := 0.0
 	for _, e := range usable {
 		part := float64(b.slots(e)) / float64(b.daemons)
-		cost := float64(b.load(e.Incarnation()).running) + b.rng.Float64() // spreads daemons that know the same
+		cost := float64(b.load(e.Incarnation()).running) + b.rng.Float64() // spreads the choices of daemons with equal state
 		cost += min(ownAffinityMost, affinity*part) * affinityRank(e, q)
 		switch {
 		case e.FailureDomain == b.domain:
@@ -164,15 +166,15 @@
 	return best
 }
 
-// Started counts a request that is sent.
+// Started counts a request that is sent to an endpoint.
 func (b *Balancer) Started(e *fleet.Endpoint) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.load(e.Incarnation()).running++
 }
 
-// Ended counts a request that has ended after some time. ok says that the endpoint
-// answered as it should.
+// Ended counts a request that has ended. ok says that the endpoint answered as it should;
+// only then do the failures end and does took enter the mean run time.
 func (b *Balancer) Ended(now time.Time, e *fleet.Endpoint, unit string, took time.Duration, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -188,8 +190,8 @@
 	s.runTime += time.Duration(runTimeStep * float64(took-s.runTime))
 }
 
-// Failed keeps requests away from an endpoint for a while that grows with its
-// failures in a row; it returns that while.
+// Failed keeps requests away from an endpoint for a time that grows with its
+// consecutive failures, and returns that time.
 func (b *Balancer) Failed(now time.Time, id fleet.Incarnation) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -200,36 +202,37 @@
 	return d
 }
 
-// Gone keeps all requests away from an endpoint at which nothing listens, as it refused a
-// connection or as other daemons say. Requests that would be sent there in vain are told
-// at once what else there is.
+// MarkUnreachable keeps all requests away from an endpoint at which nothing listens, because
+// it refused a connection or other daemons report so. Requests that would be sent there in
+// vain can then be served elsewhere or refused at once.
 func (b *Balancer) MarkUnreachable(now time.Time, id fleet.Incarnation) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	l := b.load(id)
 	if now.Before(l.goneUntil) {
-		return // told by several requests at once
+		return // several requests have noticed the same failure
 	}
 	l.goneUntil = now.Add(min(avoidMost, goneFirst<<min(l.refusals, 8)))
 	l.refusals++
 }
 
-// IsGone reports whether nothing listens at an endpoint.
+// Unreachable reports whether an endpoint is marked as unreachable now.
 func (b *Balancer) Unreachable(now time.Time, id fleet.Incarnation) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return now.Before(b.load(id).goneUntil)
 }
 
-// Avoided reports whether an endpoint has just failed or refused requests, or wants none now, so
-// that they keep away from it.
+// Avoided reports whether requests avoid an endpoint now, because it has just failed or refused
+// requests, or because of a backpressure signal.
 func (b *Balancer) Avoided(now time.Time, id fleet.Incarnation) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return now.Before(b.load(id).avoidUntil) || !b.said.Peek(now, id, backpressure.Request{}).Open
 }
 
-// PickLeaving returns an endpoint that leaves and may still serve what no other can, or nil.
+// PickLeaving returns a leaving endpoint that may still serve a request that no other endpoint can,
+// or nil.
 func (b *Balancer) PickLeaving(now time.Time, candidates []*fleet.Endpoint, q Query) *fleet.Endpoint {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -245,8 +248,8 @@
 	return b.pickOwn(may, q)
 }
 
-// Shut returns the endpoints among some that stay and want no request like this one now, by their
-// own word.
+// Unavailable returns the candidates that are not leaving and, by their backpressure signals, take
+// no request like this one now.
 func (b *Balancer) Unavailable(now time.Time, candidates []*fleet.Endpoint, a backpressure.Request) (shut []*fleet.Endpoint) {
 	for _, e := range candidates {
 		if d := b.said.Peek(now, e.Incarnation(), a); !e.Leaving && d.Closed() && d.Reason != backpressure.Leaving {
@@ -256,15 +259,15 @@
 	return shut
 }
 
-// Rate returns how many requests a second an endpoint works on for this daemon, by Little's law.
+// Rate returns how many requests a second an endpoint can serve for this daemon, by Little's law.
 func (b *Balancer) Rate(e *fleet.Endpoint) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return float64(b.slots(e)) / b.service(e.Service).runTime.Seconds() / float64(b.daemons)
 }
 
-// slots returns how many requests an endpoint works on at once: as it declares, or less under a
-// limit.
+// slots returns how many requests an endpoint works on at once: as many as it declares, or fewer
+// under a rate limit.
 func (b *Balancer) slots(e *fleet.Endpoint) int {
 	declared := max(1, e.Slots)
 	w, limited := b.said.LimitOf(e.Incarnation())
@@ -274,7 +277,7 @@
 	return min(declared, w.Capacity(b.service(e.Service).runTime))
 }
 
-// Absent records an endpoint's word that it does not hold a unit.
+// MarkAbsent records an endpoint's report that it does not hold a unit.
 func (b *Balancer) MarkAbsent(now time.Time, id fleet.Incarnation, unit string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -283,15 +286,15 @@
 	delete(l.used, unit)
 }
 
-// Present withdraws Absent, on the coordinator's word.
+// ClearAbsent undoes MarkAbsent after the coordinator has reported that the endpoint holds the unit.
 func (b *Balancer) ClearAbsent(id fleet.Incarnation, unit string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	delete(b.load(id).absent, unit)
 }
 
-// Vouched reports whether this daemon has lately been served a unit by the
-// endpoint, so that the coordinator need not be asked.
+// RecentlyServed reports whether the endpoint has recently served a unit to
+// this daemon, so that the coordinator need not be asked.
 func (b *Balancer) RecentlyServed(now time.Time, id fleet.Incarnation, unit string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -299,7 +302,8 @@
 	return ok && now.Sub(at) < usedFor
 }
 
-// Keep forgets endpoints that are not in the view any more.
+// Retain removes the state of endpoints that are no longer in the view and have
+// no running requests of this daemon.
 func (b *Balancer) Retain(view *fleet.View) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -310,7 +314,7 @@
 	}
 }
 
-// Share tells how many daemons share the requests.
+// SetDaemons sets how many daemons share the requests.
 func (b *Balancer) SetDaemons(daemons int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/coordination/balance/balance_test.go
+++ b/coordination/balance/balance_test.go
@@ -55,14 +55,14 @@
 		}
 	}
 	if e := b.Pick(start, list[:1], Query{}); e == nil {
-		t.Fatal("the only endpoint must be tried all the same")
+		t.Fatal("the only endpoint was not picked after a failure")
 	}
 	seen := false
 	for range 50 {
 		seen = seen || b.Pick(start.Add(second), list, Query{}).ID == "a"
 	}
 	if !seen {
-		t.Fatal("the endpoint never came back")
+		t.Fatal("the endpoint is still avoided after the back-off")
 	}
 }
 
@@ -76,7 +76,7 @@
 	}
 	b.ClearAbsent(life("a"), "m")
 	if e := b.Pick(start, list, Query{Unit: "m"}); e == nil || e.ID != "a" {
-		t.Fatal("the coordinator's word must count")
+		t.Fatal("not picked though the coordinator reports the unit as present")
 	}
 	if e := b.Pick(start, list, Query{Unit: "m", Exclude: []fleet.Incarnation{life("a")}}); e != nil {
 		t.Fatal("an excluded endpoint was picked")
@@ -100,7 +100,7 @@
 	}
 }
 
-// What was learned of an endpoint ends with its life.
+// Guards against state of one incarnation of an endpoint that is applied to the next.
 func TestNextLifeIsNotAvoided(t *testing.T) {
 	b := newBalancer("d-a", 1)
 	before := fleet.Incarnation{ID: "a", StartUnixMs: 1000}
@@ -112,16 +112,16 @@
 	list := endpoints("a")
 	list[0].StartUnixMs = 2000
 	if e := b.Pick(start, list, Query{Unit: "m"}); e == nil || b.Avoided(start, e.Incarnation()) {
-		t.Fatal("the next life pays for the one before")
+		t.Fatal("the next incarnation is avoided for failures of the one before")
 	}
 	b.Ended(start, old, "m", time.Second, true)
 	if b.RecentlyServed(start, list[0].Incarnation(), "m") {
-		t.Fatal("a success of the life before vouches for the next one")
+		t.Fatal("a success of the incarnation before counts for the next one")
 	}
 }
 
-// Holders are crowded where each has more than three of four slots taken, by what all
-// daemons were told to have running and what this one has sent since.
+// Holders of a model are near capacity if each has at least three quarters of its slots
+// taken, by the reported requests of all daemons and those that this daemon has sent since.
 func TestCrowdedHolders(t *testing.T) {
 	b := newBalancer("x", 1)
 	list := endpoints("a", "b")
@@ -129,7 +129,7 @@
 		e.Service, e.Slots = "llm", 12
 	}
 	if b.NearCapacity(start, list, Query{}) {
-		t.Fatal("crowded though nothing was told")
+		t.Fatal("near capacity without a report")
 	}
 	b.ReceiveRunning("llm", start, Running{life("a"): 12, life("b"): 8}, Running{})
 	if b.NearCapacity(start, list, Query{}) {
@@ -137,38 +137,38 @@
 	}
 	b.Started(list[1])
 	if !b.NearCapacity(start, list, Query{}) {
-		t.Fatal("both are crowded with the request that was sent since")
+		t.Fatal("not near capacity with the request that was sent since the report")
 	}
 	if b.NearCapacity(start.Add(toldLife), list, Query{}) {
-		t.Fatal("crowded by a word that is too old")
+		t.Fatal("near capacity by a report that is too old")
 	}
 	b.Failed(start, life("b"))
 	if !b.NearCapacity(start, list, Query{}) {
-		t.Fatal("the one that has failed is left out")
+		t.Fatal("not near capacity though the endpoint that has failed does not count")
 	}
 }
 
-// An endpoint at which nothing listens is not picked, also where there is no other: its
-// requests are told at once what else there is. One request finds out when it is back.
+// An endpoint at which nothing listens is not picked, even if there is no other, so that its
+// requests are served elsewhere or refused at once. After the back-off it is tried again.
 func TestEndedEndpointIsNotPicked(t *testing.T) {
 	b := newBalancer("x", 1)
 	list := endpoints("a")
-	for range 5 { // of one end, as many requests notice
+	for range 5 { // several requests notice the same failure
 		b.MarkUnreachable(start, life("a"))
 	}
 	if e := b.Pick(start.Add(goneFirst-time.Millisecond), list, Query{}); e != nil || !b.Unreachable(start, life("a")) {
 		t.Fatalf("picked %v", e)
 	}
 	if e := b.Pick(start.Add(goneFirst), list, Query{}); e == nil {
-		t.Fatal("it is never asked again")
+		t.Fatal("not picked after the back-off")
 	}
 	again := start.Add(goneFirst)
 	b.MarkUnreachable(again, life("a"))
 	if e := b.Pick(again.Add(2*goneFirst-time.Millisecond), list, Query{}); e != nil {
-		t.Fatal("the second refusal counts as little as the first")
+		t.Fatal("the back-off did not grow with the second refusal")
 	}
 	b.Ended(again, list[0], "", time.Millisecond, true)
 	if e := b.Pick(again, list, Query{}); e == nil {
-		t.Fatal("it has answered, and is not picked")
+		t.Fatal("not picked though it has answered")
 	}
 }
--- a/coordination/balance/fleet_test.go
+++ b/coordination/balance/fleet_test.go
@@ -10,24 +10,24 @@
 	"github.com/doorvalve/doorvalve/state/fleet"
 )
 
-// site is many daemons before many engines in virtual time: each daemon sees a small part
-// of the requests and is told of the others some hundred milliseconds late. The pattern is
-// that of hundreds of hosts, where a daemon has two or three requests running at a time.
+// site simulates many daemons and many engines in virtual time: each daemon handles a small
+// share of the requests and receives the counts of the others some hundred milliseconds late.
+// The load is that of hundreds of hosts, where a daemon has two or three requests running.
 type site struct {
 	daemons  []*Balancer
 	engines  []*fleet.Endpoint
 	holders  [][]*fleet.Endpoint // of each model
-	prompts  int                 // shared parts of prompts, of each model
+	prompts  int                 // number of shared parts of prompts, of each model
 	rate     float64             // requests a second
 	runTime  time.Duration
-	tell     time.Duration // between two words of a daemon; zero: there is no coordinator
+	tell     time.Duration // between two reports of a daemon; zero: there is no coordinator
 	now      time.Time
 	running  Running
-	said     []Running // of each daemon, as it told last
+	said     []Running // last report of each daemon
 	ends     []running
 	arrivals Running
 	started  int
-	crowded  int // requests that queued while another holder had a place free
+	crowded  int // requests that queued while another holder had a free slot
 }
 
 type running struct {
@@ -57,7 +57,7 @@
 	return s
 }
 
-// run plays the site for a time, in steps of 5 ms.
+// run simulates the site for a time, in steps of 5 ms.
 func (s *site) run(rng *rand.Rand, d time.Duration) {
 	const step = 5 * time.Millisecond
 	due := 0.0
@@ -83,7 +83,8 @@
 	s.ends = kept
 }
 
-// tellAll lets each daemon tell in its turn, and be told what all have told so far.
+// reportAll lets each daemon in its turn report its running requests and receive the sum of
+// all reports so far.
 func (s *site) tellAll(step time.Duration) {
 	if s.tell == 0 {
 		return
@@ -139,12 +140,12 @@
 	s.ends = append(s.ends, running{daemon, e, s.now, s.now.Add(time.Duration(float64(s.runTime) * (0.5 + rng.Float64())))})
 }
 
-// crowding returns the part of the requests that queued while another holder of their
-// model had a place free.
+// queuedShare returns the share of the requests that queued while another holder of their
+// model had a free slot.
 func (s *site) crowding() float64 { return float64(s.crowded) / float64(s.started) }
 
-// worst returns how many requests the busiest engine got, against the holder of the same
-// model that got fewest.
+// worst returns the highest ratio, over all models, of the requests at the busiest holder of
+// a model to those at its least busy one.
 func (s *site) worst() float64 {
 	worst := 0.0
 	for _, list := range s.holders {
@@ -158,11 +159,11 @@
 	return worst
 }
 
-// Hundreds of daemons spread the requests of each model over its holders, at three of
-// five slots taken. Where each daemon went by its own requests alone, with a prompt's
-// affinity as two of them, one holder got 5.7 times the requests of another (20 times
-// with 375 daemons), and 0.14 of the requests queued beside a free place; where each took
-// the emptiest by what it was told, 4.7 times with 375 daemons, and 0.31.
+// Hundreds of daemons spread the requests of each model over its holders, with three of five
+// slots taken. Guards against two simpler ways to pick. By a daemon's own requests alone, with
+// affinity worth two of them, one holder got 5.7 times the requests of another (20 times with
+// 375 daemons), and 0.14 of the requests queued while another holder had a free slot. By the
+// emptiest endpoint in the reports, it was 4.7 times with 375 daemons, and 0.31.
 func TestManyDaemonsShareOutTheHolders(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	for _, c := range []struct {
@@ -182,7 +183,7 @@
 		s.run(rng, 10*time.Second)
 		t.Logf("%s: %.3f crowded, %.2f unequal, %d requests", c.name, s.crowding(), s.worst(), s.started)
 		if s.crowding() > c.mostCrowded {
-			t.Errorf("%s: %.3f of the requests queued while another holder had a place, want at most %.3f", c.name, s.crowding(), c.mostCrowded)
+			t.Errorf("%s: %.3f of the requests queued while another holder had a free slot, want at most %.3f", c.name, s.crowding(), c.mostCrowded)
 		}
 		if s.worst() > c.mostUnequal {
 			t.Errorf("%s: one holder got %.2f times the requests of another, want at most %.2f", c.name, s.worst(), c.mostUnequal)
@@ -190,7 +191,7 @@
 	}
 }
 
-// runningSite returns a site of one daemon, and what runs at its engines.
+// runningSite returns a site of one daemon, and the running requests at its engines.
 func runningSite(engines int) (*site, Running) {
 	s, all := newSite(1, engines, 12, 1, 6), Running{}
 	for i, e := range s.engines {
@@ -199,7 +200,7 @@
 	return s, all
 }
 
-// The choice of a holder, with counts of all daemons at hand.
+// The choice of a holder, with a recent report of all daemons' requests.
 func BenchmarkPick(b *testing.B) {
 	for _, engines := range []int{9, 124, 600} {
 		b.Run(fmt.Sprint(engines, " engines"), func(b *testing.B) {
@@ -214,7 +215,7 @@
 	}
 }
 
-// Taking a coordinator's word on all engines.
+// Applying a coordinator's report on all engines.
 func BenchmarkTold(b *testing.B) {
 	for _, engines := range []int{9, 124, 600} {
 		b.Run(fmt.Sprint(engines, " engines"), func(b *testing.B) {
--- a/coordination/balance/limits_test.go
+++ b/coordination/balance/limits_test.go
@@ -8,8 +8,8 @@
 	"github.com/doorvalve/doorvalve/coordination/limit"
 )
 
-// An endpoint without room within its limit is passed over until it has, also where there is no
-// other: what is sent there would be more than it takes.
+// An endpoint without room within its rate limit is not picked until it has room, even if there is
+// no other: it would not accept the request.
 func TestEndpointWithoutRoomIsPassedOver(t *testing.T) {
 	b := newBalancer("x", 1)
 	list := endpoints("a", "b")
@@ -17,31 +17,31 @@
 	b.said.CloseFor(start, life("a"), time.Second)
 	for range 50 {
 		if e := b.Pick(start, list, Query{}); e.ID != "b" {
-			t.Fatal("picked one without room")
+			t.Fatal("picked an endpoint without room within its limit")
 		}
 	}
 	if e := b.Pick(start, list[:1], Query{}); e != nil {
-		t.Fatal("picked the only one, which has no room")
+		t.Fatal("picked the only endpoint, which has no room within its limit")
 	}
 	shut := b.Unavailable(start.Add(400*time.Millisecond), list, backpressure.Request{})
 	if in := b.said.EstimateWait(start.Add(400*time.Millisecond), life("a"), backpressure.Request{}, 1); len(shut) != 1 || shut[0] != list[0] || in != 600*time.Millisecond {
-		t.Fatalf("%v without room, for %v", shut, in)
+		t.Fatalf("%v unavailable, retry delay %v", shut, in)
 	}
 	if !b.Avoided(start, life("a")) {
-		t.Error("counts as one that can take a request from another")
+		t.Error("an endpoint without room is not avoided")
 	}
 	if e := b.Pick(start.Add(time.Second), list[:1], Query{}); e == nil {
-		t.Error("passed over though it has room again")
+		t.Error("not picked though it has room again")
 	}
 	b.said.CloseFor(start, life("a"), time.Minute)
 	b.said.SetLimit(start, life("a"), limit.Report{})
 	if e := b.Pick(start.Add(time.Second), list[:1], Query{}); e == nil {
-		t.Error("passed over after its limit has ended")
+		t.Error("not picked though its limit has ended")
 	}
 }
 
-// A limit is what an endpoint can work on: of many requests it gets the part that it takes, and
-// it goes on getting some, which tell when its need is over.
+// A limited endpoint gets the share of the requests that fits its limit. It keeps getting some,
+// since their answers show when the limit ends.
 func TestLimitedEndpointGetsItsPart(t *testing.T) {
 	b := newBalancer("x", 1)
 	list := endpoints("a", "b")
@@ -55,12 +55,12 @@
 		}
 	}
 	if got == 0 || got > requests/10 {
-		t.Errorf("%d of %d requests for an endpoint that takes two at once, beside one that takes 64", got, requests)
+		t.Errorf("%d of %d requests went to an endpoint that takes two at once, beside one that takes 64", got, requests)
 	}
 }
 
-// Guards against requests to the only endpoint within its pause, also after successes of requests
-// that had begun before, and against a leaving endpoint that is picked beside others.
+// Guards against requests to the only endpoint during its pause, also after successes of requests
+// that were sent before the pause, and against a leaving endpoint that is picked beside others.
 func TestEndpointThatPausesOrLeavesIsNotPicked(t *testing.T) {
 	b := newBalancer("x", 1)
 	list := endpoints("a", "b")
@@ -71,17 +71,17 @@
 		t.Error("picked within the pause")
 	}
 	if shut := b.Unavailable(start.Add(2*time.Second), list[:1], backpressure.Request{}); len(shut) != 1 {
-		t.Errorf("%v shut", shut)
+		t.Errorf("%v unavailable, want one", shut)
 	}
 	b.said.SetLeaving(start, life("b"), start)
 	if e := b.Pick(start, list[1:], Query{}); e != nil {
-		t.Error("picked one that leaves")
+		t.Error("picked a leaving endpoint")
 	}
 	if e := b.PickLeaving(start.Add(time.Second), list, Query{}); e == nil || e.ID != "b" {
-		t.Errorf("%v for what no other can serve", e)
+		t.Errorf("picked %v for a request that no other endpoint can serve", e)
 	}
 	if e := b.PickLeaving(start.Add(2*time.Second), list, Query{}); e != nil {
-		t.Error("picked later than an endpoint that leaves may get requests")
+		t.Error("picked a leaving endpoint after the time in which it may get requests")
 	}
 	if d := b.said.Peek(start, life("b"), backpressure.Request{}); d.Open || d.Reason != backpressure.Leaving {
 		t.Errorf("%+v", d)
--- a/coordination/balance/told.go
+++ b/coordination/balance/told.go
@@ -11,25 +11,25 @@
 )
 
 const (
-	// toldLife is how long what is told of the other daemons' requests is used: as
-	// long as a coordinator counts what a daemon has told it.
+	// reportTTL is how long a report of the other daemons' requests is used: as long
+	// as a coordinator counts a daemon's report.
 	toldLife = 3 * time.Second
 	// otherDomain is the cost of another failure domain, as a share of an endpoint's
 	// slots.
 	otherDomain = 0.14
-	// affinity is the gain of the endpoint that has most probably read the prompt's
-	// shared part, in the same unit.
+	// affinity is the gain of the endpoint that has most probably processed the prompt's
+	// shared part before, in the same unit.
 	affinity = 0.19
 	// fullCost is the cost of an endpoint without a free slot, in the same unit: neither
-	// a failure domain nor a prompt is worth waiting in a queue for.
+	// the failure domain nor affinity is worth waiting in a queue for.
 	fullCost = otherDomain + affinity
 )
 
 // Running is a count of requests for each endpoint.
 type Running map[fleet.Incarnation]int
 
-// Own returns what this daemon has running: what it tells of itself, to be taken out
-// of what it is told of all.
+// OwnRunning returns the running requests of this daemon. The daemon reports them, and
+// subtracts them from the counts that it receives for all daemons.
 func (b *Balancer) OwnRunning() Running {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -42,8 +42,9 @@
 	return own
 }
 
-// Told takes what all daemons have running at the endpoints of a service, as of a
-// time, with own of it by this one.
+// ReceiveRunning sets the number of requests that all daemons have running at the
+// endpoints of a service as of a time. own is the part of them that this daemon had
+// reported.
 func (b *Balancer) ReceiveRunning(serviceName string, asOf time.Time, all, own Running) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -53,12 +54,12 @@
 	b.service(serviceName).toldAt = asOf
 }
 
-// pickTold chooses by what all daemons have running, which is some hundred
-// milliseconds old. All daemons are told about the same, so that each taking the
-// endpoint that looked emptiest would fill it beyond the others before they are told
-// again. Each therefore assumes that the requests which go out meanwhile fill the
-// endpoints up to one level (water-filling), and goes to each with the probability of its
-// part of them: to the emptiest alone where few requests come, to all alike where many do.
+// pickByReports picks by the running requests of all daemons, a count that is some hundred
+// milliseconds old. All daemons hold about the same counts: if each picked the endpoint that
+// looks emptiest, they would fill it beyond the others before the next report. Each daemon
+// therefore assumes that the requests sent in the meantime fill the endpoints up to one level
+// (water-filling), and picks an endpoint with the probability of its share of them: only the
+// emptiest if few requests arrive, all alike if many do.
 func (b *Balancer) pickTold(now time.Time, s *service, usable []*fleet.Endpoint, q Query) *fleet.Endpoint {
 	options := make([]option, len(usable))
 	running := 0
@@ -74,17 +75,17 @@
 		}
 		options[i] = option{level: level, slots: float64(b.slots(e)), endpoint: e}
 	}
-	// By Little's law: so many begin a second as run, over how long they run.
+	// By Little's law, the rate of new requests is the number running over their run time.
 	unseen := now.Sub(s.toldAt).Seconds() * float64(running) / s.runTime.Seconds()
 	return waterFill(options, 1+unseen, b.rng.Float64())
 }
 
-// crowdedAt is the part of an endpoint's slots from which it counts as crowded: with what
-// all daemons send before they are told again, it may be full.
+// nearCapacityShare is the share of taken slots from which an endpoint counts as near its
+// capacity: with the requests that all daemons send before the next report, it may be full.
 const crowdedAt = 0.75
 
-// Crowded reports whether all candidates are crowded, as far as is told: what this daemon
-// knows is too old then to find the one that has a slot free.
+// NearCapacity reports whether all usable candidates are near their capacity by a recent
+// report. The counts are then too old to find an endpoint with a free slot.
 func (b *Balancer) NearCapacity(now time.Time, candidates []*fleet.Endpoint, q Query) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -100,16 +101,16 @@
 
 // option is an endpoint that a request may go to.
 type option struct {
-	level    float64 // of its slots that are taken, with what else counts against it
+	level    float64 // share of its slots that is taken, plus its other costs
 	slots    float64
 	endpoint *fleet.Endpoint
 }
 
-// waterFill sends so many requests to the options, always to the lowest level, and returns
-// the endpoint of the one at a part of them, from 0 to 1.
+// waterFill distributes a number of requests over the options, always to the lowest level,
+// and returns the endpoint that gets the request at a position among them, from 0 to 1.
 func waterFill(options []option, requests, part float64) *fleet.Endpoint {
 	slices.SortFunc(options, func(a, b option) int { return cmp.Compare(a.level, b.level) })
-	// The lowest of them fill up to one level, if that is below the next one.
+	// Find the common level up to which the lowest options fill: at most that of the next one.
 	slots, taken, level := 0.0, 0.0, 0.0
 	for i, o := range options {
 		slots += o.slots
@@ -128,8 +129,8 @@
 	return options[0].endpoint
 }
 
-// affinityRank orders endpoints for the shared part of a prompt, from 0: each part has
-// an order of its own.
+// affinityRank ranks endpoints for the shared part of a prompt, from 0, the best, to 1. Each
+// shared part has an order of its own.
 func affinityRank(e *fleet.Endpoint, q Query) float64 {
 	if q.Affinity == "" {
 		return 0
