--- a/coordination/balance/balance.go
+++ b/coordination/balance/balance.go
@@ -17,11 +17,11 @@
 	// avoidFirst is how long an endpoint is avoided after a failure. It
 	// doubles with each further failure up to maxAvoid.
 	avoidFirst = 300 * time.Millisecond
-	avoidMost  = 4 * time.Second
+	maxAvoid   = 4 * time.Second
 	// unreachableFirst is how long an endpoint at which nothing listens gets no requests at
 	// all. It doubles with each further refused connection up to maxAvoid. An endpoint whose
 	// process has ended returns under another id, or after seconds.
-	goneFirst = time.Second
+	unreachableFirst = time.Second
 	// absentFor is how long an endpoint's report that it does not hold a model
 	// overrides an older entry in the list of endpoints.
 	absentFor = 2500 * time.Millisecond
@@ -37,26 +37,26 @@
 
 // load is this daemon's state of one incarnation of an endpoint.
 type load struct {
-	running    int // running requests of this daemon
-	others     int // running requests of the other daemons, as last reported
-	failures   int // consecutive
-	avoidUntil time.Time
-	refusals   int                  // of connections, consecutive
-	goneUntil  time.Time            // nothing listens there until then
-	absent     map[string]time.Time // by unit: not held by the endpoint until then
-	used       map[string]time.Time // by unit: last success
+	running            int // running requests of this daemon
+	others             int // running requests of the other daemons, as last reported
+	failures           int // consecutive
+	avoidUntil         time.Time
+	refusedConnections int                  // consecutive
+	unreachableUntil   time.Time            // nothing listens there until then
+	absent             map[string]time.Time // by unit: not held by the endpoint until then
+	used               map[string]time.Time // by unit: last success
 }
 
 // service is the state of a service as a whole.
 type service struct {
-	toldAt  time.Time     // time as of which load.others was reported; zero: never
-	runTime time.Duration // moving average of the requests that have ended at this daemon
+	reportedAt time.Time     // time as of which load.others was reported; zero: never
+	runTime    time.Duration // moving average of the requests that have ended at this daemon
 }
 
 // Balancer picks endpoints for requests. It is safe for concurrent use.
 type Balancer struct {
-	domain string
-	said   *backpressure.Tracker
+	domain  string
+	signals *backpressure.Tracker
 
 	mu       sync.Mutex
 	rng      *rand.Rand
@@ -67,8 +67,8 @@
 
 // New returns a balancer for a daemon in a failure domain, which respects the backpressure
 // signals of endpoints. seed is for its random choices.
-func New(domain string, seed uint64, said *backpressure.Tracker) *Balancer {
-	return &Balancer{domain: domain, said: said, rng: rand.New(rand.NewPCG(seed, 0)), loads: map[fleet.Incarnation]*load{}, services: map[string]*service{}, daemons: 1}
+func New(domain string, seed uint64, signals *backpressure.Tracker) *Balancer {
+	return &Balancer{domain: domain, signals: signals, rng: rand.New(rand.NewPCG(seed, 0)), loads: map[fleet.Incarnation]*load{}, services: map[string]*service{}, daemons: 1}
 }
 
 func (b *Balancer) load(id fleet.Incarnation) *load {
@@ -106,10 +106,10 @@
 	if len(usable) == 0 {
 		return nil
 	}
-	if s := b.service(usable[0].Service); now.Sub(s.toldAt) < toldLife {
-		return b.pickTold(now, s, usable, q)
+	if s := b.service(usable[0].Service); now.Sub(s.reportedAt) < reportTTL {
+		return b.pickByReports(now, s, usable, q)
 	}
-	return b.pickOwn(usable, q)
+	return b.pickByOwn(usable, q)
 }
 
 // usable returns the candidates that may get the request. Left out are endpoints that are leaving,
@@ -120,7 +120,7 @@
 	for _, e := range candidates {
 		l := b.load(e.Incarnation())
 		switch {
-		case e.Leaving, now.Before(l.goneUntil), !b.said.Peek(now, e.Incarnation(), q.Request).Open, slices.ContainsFunc(q.Exclude, e.Incarnation().Matches):
+		case e.Leaving, now.Before(l.unreachableUntil), !b.signals.Peek(now, e.Incarnation(), q.Request).Open, slices.ContainsFunc(q.Exclude, e.Incarnation().Matches):
 		case q.Unit != "" && now.Before(l.absent[q.Unit]):
 		case now.Before(l.avoidUntil):
 			avoided = append(avoided, e)
@@ -139,25 +139,25 @@
 	// report of the other daemons' requests, in running requests of this daemon.
 	ownOtherDomain = 1.5
 	// maxOwnAffinity bounds the weight of affinity, in the same unit.
-	ownAffinityMost = 2.0
+	maxOwnAffinity = 2.0
 )
 
 // pickByOwn picks the endpoint with the fewest running requests of this daemon. Where many
 // daemons share the requests, its own are a small share of all: affinity and failure domain
 // are therefore weighted by this daemon's share of the slots, and chance decides the rest.
-func (b *Balancer) pickOwn(usable []*fleet.Endpoint, q Query) *fleet.Endpoint {
+func (b *Balancer) pickByOwn(usable []*fleet.Endpoint, q Query) *fleet.Endpoint {
 	var best *fleet.Endpoint
 	bestCost := 0.0
 	for _, e := range usable {
-		part := float64(b.slots(e)) / float64(b.daemons)
+		share := float64(b.slots(e)) / float64(b.daemons)
 		cost := float64(b.load(e.Incarnation()).running) + b.rng.Float64() // spreads the choices of daemons with equal state
-		cost += min(ownAffinityMost, affinity*part) * affinityRank(e, q)
+		cost += min(maxOwnAffinity, affinity*share) * affinityRank(e, q)
 		switch {
 		case e.FailureDomain == b.domain:
 		case q.Unit == "":
 			cost += ownOtherDomain
 		default:
-			cost += min(ownOtherDomain, otherDomain*part)
+			cost += min(ownOtherDomain, otherDomain*share)
 		}
 		if best == nil || cost < bestCost {
 			best, bestCost = e, cost
@@ -174,7 +174,7 @@
 }
 
 // Ended counts a request that has ended. ok says that the endpoint answered as it should;
-// only then do the failures end and does took enter the mean run time.
+// only then are its failures reset and took is added to the service's mean run time.
 func (b *Balancer) Ended(now time.Time, e *fleet.Endpoint, unit string, took time.Duration, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -183,8 +183,8 @@
 	if !ok {
 		return
 	}
-	l.failures, l.refusals = 0, 0
-	l.avoidUntil, l.goneUntil = time.Time{}, time.Time{}
+	l.failures, l.refusedConnections = 0, 0
+	l.avoidUntil, l.unreachableUntil = time.Time{}, time.Time{}
 	l.used[unit] = now
 	s := b.service(e.Service)
 	s.runTime += time.Duration(runTimeStep * float64(took-s.runTime))
@@ -196,7 +196,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	l := b.load(id)
-	d := min(avoidMost, avoidFirst<<min(l.failures, 8))
+	d := min(maxAvoid, avoidFirst<<min(l.failures, 8))
 	l.failures++
 	l.avoidUntil = now.Add(d)
 	return d
@@ -209,18 +209,18 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	l := b.load(id)
-	if now.Before(l.goneUntil) {
+	if now.Before(l.unreachableUntil) {
 		return // several requests have noticed the same failure
 	}
-	l.goneUntil = now.Add(min(avoidMost, goneFirst<<min(l.refusals, 8)))
-	l.refusals++
+	l.unreachableUntil = now.Add(min(maxAvoid, unreachableFirst<<min(l.refusedConnections, 8)))
+	l.refusedConnections++
 }
 
 // Unreachable reports whether an endpoint is marked as unreachable now.
 func (b *Balancer) Unreachable(now time.Time, id fleet.Incarnation) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return now.Before(b.load(id).goneUntil)
+	return now.Before(b.load(id).unreachableUntil)
 }
 
 // Avoided reports whether requests avoid an endpoint now, because it has just failed or refused
@@ -228,7 +228,7 @@
 func (b *Balancer) Avoided(now time.Time, id fleet.Incarnation) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return now.Before(b.load(id).avoidUntil) || !b.said.Peek(now, id, backpressure.Request{}).Open
+	return now.Before(b.load(id).avoidUntil) || !b.signals.Peek(now, id, backpressure.Request{}).Open
 }
 
 // PickLeaving returns a leaving endpoint that may still serve a request that no other endpoint can,
@@ -236,27 +236,27 @@
 func (b *Balancer) PickLeaving(now time.Time, candidates []*fleet.Endpoint, q Query) *fleet.Endpoint {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	var may []*fleet.Endpoint
+	var eligible []*fleet.Endpoint
 	for _, e := range candidates {
-		if l := b.load(e.Incarnation()); now.Before(l.goneUntil) || slices.ContainsFunc(q.Exclude, e.Incarnation().Matches) {
+		if l := b.load(e.Incarnation()); now.Before(l.unreachableUntil) || slices.ContainsFunc(q.Exclude, e.Incarnation().Matches) {
 			continue
 		}
-		if b.said.Peek(now, e.Incarnation(), q.Request).LastResort {
-			may = append(may, e)
+		if b.signals.Peek(now, e.Incarnation(), q.Request).LastResort {
+			eligible = append(eligible, e)
 		}
 	}
-	return b.pickOwn(may, q)
+	return b.pickByOwn(eligible, q)
 }
 
 // Unavailable returns the candidates that are not leaving and, by their backpressure signals, take
 // no request like this one now.
-func (b *Balancer) Unavailable(now time.Time, candidates []*fleet.Endpoint, a backpressure.Request) (shut []*fleet.Endpoint) {
+func (b *Balancer) Unavailable(now time.Time, candidates []*fleet.Endpoint, a backpressure.Request) (unavailable []*fleet.Endpoint) {
 	for _, e := range candidates {
-		if d := b.said.Peek(now, e.Incarnation(), a); !e.Leaving && d.Closed() && d.Reason != backpressure.Leaving {
-			shut = append(shut, e)
+		if d := b.signals.Peek(now, e.Incarnation(), a); !e.Leaving && d.Closed() && d.Reason != backpressure.Leaving {
+			unavailable = append(unavailable, e)
 		}
 	}
-	return shut
+	return unavailable
 }
 
 // Rate returns how many requests a second an endpoint can serve for this daemon, by Little's law.
@@ -270,7 +270,7 @@
 // under a rate limit.
 func (b *Balancer) slots(e *fleet.Endpoint) int {
 	declared := max(1, e.Slots)
-	w, limited := b.said.LimitOf(e.Incarnation())
+	w, limited := b.signals.LimitOf(e.Incarnation())
 	if !limited {
 		return declared
 	}
--- a/coordination/balance/balance_test.go
+++ b/coordination/balance/balance_test.go
@@ -14,7 +14,7 @@
 	return New(domain, seed, backpressure.New(backpressure.Options{LeaveWithin: 2 * time.Second}))
 }
 
-func life(id string) fleet.Incarnation { return fleet.Incarnation{ID: id} }
+func incarnation(id string) fleet.Incarnation { return fleet.Incarnation{ID: id} }
 
 func endpoints(ids ...string) []*fleet.Endpoint {
 	var list []*fleet.Endpoint
@@ -44,8 +44,8 @@
 func TestFailedEndpointIsAvoidedForAWhile(t *testing.T) {
 	b := newBalancer("x", 1)
 	list := endpoints("a", "b")
-	first := b.Failed(start, life("a"))
-	second := b.Failed(start, life("a"))
+	first := b.Failed(start, incarnation("a"))
+	second := b.Failed(start, incarnation("a"))
 	if second <= first {
 		t.Fatalf("a second failure in a row is avoided for %v, the first for %v", second, first)
 	}
@@ -70,20 +70,20 @@
 	b := newBalancer("x", 1)
 	list := endpoints("a", "b")
 	list[1].Leaving = true
-	b.MarkAbsent(start, life("a"), "m")
+	b.MarkAbsent(start, incarnation("a"), "m")
 	if e := b.Pick(start, list, Query{Unit: "m"}); e != nil {
 		t.Fatalf("picked %s", e.ID)
 	}
-	b.ClearAbsent(life("a"), "m")
+	b.ClearAbsent(incarnation("a"), "m")
 	if e := b.Pick(start, list, Query{Unit: "m"}); e == nil || e.ID != "a" {
 		t.Fatal("not picked though the coordinator reports the unit as present")
 	}
-	if e := b.Pick(start, list, Query{Unit: "m", Exclude: []fleet.Incarnation{life("a")}}); e != nil {
+	if e := b.Pick(start, list, Query{Unit: "m", Exclude: []fleet.Incarnation{incarnation("a")}}); e != nil {
 		t.Fatal("an excluded endpoint was picked")
 	}
 }
 
-func TestAffinityKeepsAPromptTogetherUntilLoadSays(t *testing.T) {
+func TestAffinityKeepsPromptsTogether(t *testing.T) {
 	b := newBalancer("x", 1)
 	b.SetDaemons(6)
 	list := endpoints("a", "b", "c", "d")
@@ -122,7 +122,7 @@
 
 // Holders of a model are near capacity if each has at least three quarters of its slots
 // taken, by the reported requests of all daemons and those that this daemon has sent since.
-func TestCrowdedHolders(t *testing.T) {
+func TestNearCapacity(t *testing.T) {
 	b := newBalancer("x", 1)
 	list := endpoints("a", "b")
 	for _, e := range list {
@@ -131,7 +131,7 @@
 	if b.NearCapacity(start, list, Query{}) {
 		t.Fatal("near capacity without a report")
 	}
-	b.ReceiveRunning("llm", start, Running{life("a"): 12, life("b"): 8}, Running{})
+	b.ReceiveRunning("llm", start, Running{incarnation("a"): 12, incarnation("b"): 8}, Running{})
 	if b.NearCapacity(start, list, Query{}) {
 		t.Fatal("one of them has slots free")
 	}
@@ -139,10 +139,10 @@
 	if !b.NearCapacity(start, list, Query{}) {
 		t.Fatal("not near capacity with the request that was sent since the report")
 	}
-	if b.NearCapacity(start.Add(toldLife), list, Query{}) {
+	if b.NearCapacity(start.Add(reportTTL), list, Query{}) {
 		t.Fatal("near capacity by a report that is too old")
 	}
-	b.Failed(start, life("b"))
+	b.Failed(start, incarnation("b"))
 	if !b.NearCapacity(start, list, Query{}) {
 		t.Fatal("not near capacity though the endpoint that has failed does not count")
 	}
@@ -154,17 +154,17 @@
 	b := newBalancer("x", 1)
 	list := endpoints("a")
 	for range 5 { // several requests notice the same failure
-		b.MarkUnreachable(start, life("a"))
+		b.MarkUnreachable(start, incarnation("a"))
 	}
-	if e := b.Pick(start.Add(goneFirst-time.Millisecond), list, Query{}); e != nil || !b.Unreachable(start, life("a")) {
+	if e := b.Pick(start.Add(unreachableFirst-time.Millisecond), list, Query{}); e != nil || !b.Unreachable(start, incarnation("a")) {
 		t.Fatalf("picked %v", e)
 	}
-	if e := b.Pick(start.Add(goneFirst), list, Query{}); e == nil {
+	if e := b.Pick(start.Add(unreachableFirst), list, Query{}); e == nil {
 		t.Fatal("not picked after the back-off")
 	}
-	again := start.Add(goneFirst)
-	b.MarkUnreachable(again, life("a"))
-	if e := b.Pick(again.Add(2*goneFirst-time.Millisecond), list, Query{}); e != nil {
+	again := start.Add(unreachableFirst)
+	b.MarkUnreachable(again, incarnation("a"))
+	if e := b.Pick(again.Add(2*unreachableFirst-time.Millisecond), list, Query{}); e != nil {
 		t.Fatal("the back-off did not grow with the second refusal")
 	}
 	b.Ended(again, list[0], "", time.Millisecond, true)
--- a/coordination/balance/fleet_test.go
+++ b/coordination/balance/fleet_test.go
@@ -14,23 +14,23 @@
 // share of the requests and receives the counts of the others some hundred milliseconds late.
 // The load is that of hundreds of hosts, where a daemon has two or three requests running.
 type site struct {
-	daemons  []*Balancer
-	engines  []*fleet.Endpoint
-	holders  [][]*fleet.Endpoint // of each model
-	prompts  int                 // number of shared parts of prompts, of each model
-	rate     float64             // requests a second
-	runTime  time.Duration
-	tell     time.Duration // between two reports of a daemon; zero: there is no coordinator
-	now      time.Time
-	running  Running
-	said     []Running // last report of each daemon
-	ends     []running
-	arrivals Running
-	started  int
-	crowded  int // requests that queued while another holder had a free slot
+	daemons          []*Balancer
+	engines          []*fleet.Endpoint
+	holders          [][]*fleet.Endpoint // of each model
+	prompts          int                 // number of shared parts of prompts, of each model
+	rate             float64             // requests a second
+	runTime          time.Duration
+	reportInterval   time.Duration // between two reports of a daemon; zero: there is no coordinator
+	now              time.Time
+	running          Running
+	reported         []Running // last report of each daemon
+	active           []activeRequest
+	arrivals         Running
+	started          int
+	queuedBesideFree int // requests that queued while another holder had a free slot
 }
 
-type running struct {
+type activeRequest struct {
 	daemon   int
 	endpoint *fleet.Endpoint
 	began    time.Time
@@ -42,7 +42,7 @@
 	for i := range daemons {
 		b := newBalancer(fmt.Sprint("d", i%5), uint64(i))
 		b.SetDaemons(daemons)
-		s.daemons, s.said = append(s.daemons, b), append(s.said, Running{})
+		s.daemons, s.reported = append(s.daemons, b), append(s.reported, Running{})
 	}
 	for i := range engines {
 		s.engines = append(s.engines, &fleet.Endpoint{ID: fmt.Sprint("e", i), Service: "llm", FailureDomain: fmt.Sprint("d", i%5), Slots: slots})
@@ -63,7 +63,7 @@
 	due := 0.0
 	for end := s.now.Add(d); s.now.Before(end); s.now = s.now.Add(step) {
 		s.finish()
-		s.tellAll(step)
+		s.reportAll(step)
 		for due += s.rate * step.Seconds() * rng.ExpFloat64(); due >= 1; due-- {
 			s.request(rng)
 		}
@@ -71,8 +71,8 @@
 }
 
 func (s *site) finish() {
-	kept := s.ends[:0]
-	for _, r := range s.ends {
+	kept := s.active[:0]
+	for _, r := range s.active {
 		if r.end.After(s.now) {
 			kept = append(kept, r)
 			continue
@@ -80,20 +80,20 @@
 		s.running[r.endpoint.Incarnation()]--
 		s.daemons[r.daemon].Ended(s.now, r.endpoint, "m", r.end.Sub(r.began), true)
 	}
-	s.ends = kept
+	s.active = kept
 }
 
 // reportAll lets each daemon in its turn report its running requests and receive the sum of
 // all reports so far.
-func (s *site) tellAll(step time.Duration) {
-	if s.tell == 0 {
+func (s *site) reportAll(step time.Duration) {
+	if s.reportInterval == 0 {
 		return
 	}
-	turns := int(s.tell / step)
+	turns := int(s.reportInterval / step)
 	now := int(s.now.Sub(start)/step) % turns
 	all := Running{}
-	for _, said := range s.said {
-		for id, n := range said {
+	for _, report := range s.reported {
+		for id, n := range report {
 			all[id] += n
 		}
 	}
@@ -106,15 +106,15 @@
 		}
 		own := b.OwnRunning()
 		for id, n := range own {
-			all[id] += n - s.said[i][id]
+			all[id] += n - s.reported[i][id]
 		}
-		for id, n := range s.said[i] {
+		for id, n := range s.reported[i] {
 			if own[id] == 0 {
 				all[id] -= n
 			}
 		}
-		s.said[i] = own
-		b.ReceiveRunning("llm", s.now.Add(-s.tell/2), all, own)
+		s.reported[i] = own
+		b.ReceiveRunning("llm", s.now.Add(-s.reportInterval/2), all, own)
 	}
 }
 
@@ -130,19 +130,19 @@
 	if s.running[id] >= e.Slots {
 		for _, other := range s.holders[m] {
 			if s.running[other.Incarnation()] < other.Slots {
-				s.crowded++
+				s.queuedBesideFree++
 				break
 			}
 		}
 	}
 	s.running[id]++
 	s.daemons[daemon].Started(e)
-	s.ends = append(s.ends, running{daemon, e, s.now, s.now.Add(time.Duration(float64(s.runTime) * (0.5 + rng.Float64())))})
+	s.active = append(s.active, activeRequest{daemon, e, s.now, s.now.Add(time.Duration(float64(s.runTime) * (0.5 + rng.Float64())))})
 }
 
 // queuedShare returns the share of the requests that queued while another holder of their
 // model had a free slot.
-func (s *site) crowding() float64 { return float64(s.crowded) / float64(s.started) }
+func (s *site) queuedShare() float64 { return float64(s.queuedBesideFree) / float64(s.started) }
 
 // worst returns the highest ratio, over all models, of the requests at the busiest holder of
 // a model to those at its least busy one.
@@ -167,10 +167,10 @@
 func TestManyDaemonsShareOutTheHolders(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	for _, c := range []struct {
-		name                           string
-		daemons, engines, slots, tell  int
-		models, holders                int
-		rate, mostCrowded, mostUnequal float64
+		name                              string
+		daemons, engines, slots, reportMs int
+		models, holders                   int
+		rate, maxCrowded, maxUnequal      float64
 	}{
 		{"195 daemons, 120 engines of 12", 195, 120, 12, 650, 40, 3, 450, 0.06, 1.6},
 		{"375 daemons, 600 engines of 12", 375, 600, 12, 1250, 100, 6, 2250, 0.12, 2.0},
@@ -179,14 +179,14 @@
 		{"195 daemons without a coordinator", 195, 120, 12, 0, 40, 3, 450, 0.07, 2.2},
 	} {
 		s := newSite(c.daemons, c.engines, c.slots, c.models, c.holders)
-		s.rate, s.tell = c.rate, time.Duration(c.tell)*time.Millisecond
+		s.rate, s.reportInterval = c.rate, time.Duration(c.reportMs)*time.Millisecond
 		s.run(rng, 10*time.Second)
-		t.Logf("%s: %.3f crowded, %.2f unequal, %d requests", c.name, s.crowding(), s.worst(), s.started)
-		if s.crowding() > c.mostCrowded {
-			t.Errorf("%s: %.3f of the requests queued while another holder had a free slot, want at most %.3f", c.name, s.crowding(), c.mostCrowded)
+		t.Logf("%s: %.3f crowded, %.2f unequal, %d requests", c.name, s.queuedShare(), s.worst(), s.started)
+		if s.queuedShare() > c.maxCrowded {
+			t.Errorf("%s: %.3f of the requests queued while another holder had a free slot, want at most %.3f", c.name, s.queuedShare(), c.maxCrowded)
 		}
-		if s.worst() > c.mostUnequal {
-			t.Errorf("%s: one holder got %.2f times the requests of another, want at most %.2f", c.name, s.worst(), c.mostUnequal)
+		if s.worst() > c.maxUnequal {
+			t.Errorf("%s: one holder got %.2f times the requests of another, want at most %.2f", c.name, s.worst(), c.maxUnequal)
 		}
 	}
 }
@@ -216,7 +216,7 @@
 }
 
 // Applying a coordinator's report on all engines.
-func BenchmarkTold(b *testing.B) {
+func BenchmarkReceiveRunning(b *testing.B) {
 	for _, engines := range []int{9, 124, 600} {
 		b.Run(fmt.Sprint(engines, " engines"), func(b *testing.B) {
 			s, all := runningSite(engines)
--- a/coordination/balance/limits_test.go
+++ b/coordination/balance/limits_test.go
@@ -13,8 +13,8 @@
 func TestEndpointWithoutRoomIsPassedOver(t *testing.T) {
 	b := newBalancer("x", 1)
 	list := endpoints("a", "b")
-	b.said.SetLimit(start, life("a"), limit.Report{Rate: 1, Limited: true})
-	b.said.CloseFor(start, life("a"), time.Second)
+	b.signals.SetLimit(start, incarnation("a"), limit.Report{Rate: 1, Limited: true})
+	b.signals.CloseFor(start, incarnation("a"), time.Second)
 	for range 50 {
 		if e := b.Pick(start, list, Query{}); e.ID != "b" {
 			t.Fatal("picked an endpoint without room within its limit")
@@ -23,18 +23,18 @@
 	if e := b.Pick(start, list[:1], Query{}); e != nil {
 		t.Fatal("picked the only endpoint, which has no room within its limit")
 	}
-	shut := b.Unavailable(start.Add(400*time.Millisecond), list, backpressure.Request{})
-	if in := b.said.EstimateWait(start.Add(400*time.Millisecond), life("a"), backpressure.Request{}, 1); len(shut) != 1 || shut[0] != list[0] || in != 600*time.Millisecond {
-		t.Fatalf("%v unavailable, retry delay %v", shut, in)
+	unavailable := b.Unavailable(start.Add(400*time.Millisecond), list, backpressure.Request{})
+	if in := b.signals.EstimateWait(start.Add(400*time.Millisecond), incarnation("a"), backpressure.Request{}, 1); len(unavailable) != 1 || unavailable[0] != list[0] || in != 600*time.Millisecond {
+		t.Fatalf("%v unavailable, retry delay %v", unavailable, in)
 	}
-	if !b.Avoided(start, life("a")) {
+	if !b.Avoided(start, incarnation("a")) {
 		t.Error("an endpoint without room is not avoided")
 	}
 	if e := b.Pick(start.Add(time.Second), list[:1], Query{}); e == nil {
 		t.Error("not picked though it has room again")
 	}
-	b.said.CloseFor(start, life("a"), time.Minute)
-	b.said.SetLimit(start, life("a"), limit.Report{})
+	b.signals.CloseFor(start, incarnation("a"), time.Minute)
+	b.signals.SetLimit(start, incarnation("a"), limit.Report{})
 	if e := b.Pick(start.Add(time.Second), list[:1], Query{}); e == nil {
 		t.Error("not picked though its limit has ended")
 	}
@@ -46,7 +46,7 @@
 	b := newBalancer("x", 1)
 	list := endpoints("a", "b")
 	b.ReceiveRunning("", start, Running{}, Running{})
-	b.said.SetLimit(start, life("a"), limit.Report{Rate: 2, Limited: true})
+	b.signals.SetLimit(start, incarnation("a"), limit.Report{Rate: 2, Limited: true})
 	got := 0
 	const requests = 1000
 	for range requests {
@@ -64,16 +64,16 @@
 func TestEndpointThatPausesOrLeavesIsNotPicked(t *testing.T) {
 	b := newBalancer("x", 1)
 	list := endpoints("a", "b")
-	b.said.ObservePause(start, life("a"), 3*time.Second, 64)
+	b.signals.ObservePause(start, incarnation("a"), 3*time.Second, 64)
 	b.Started(list[0])
 	b.Ended(start.Add(time.Second), list[0], "", time.Second, true)
 	if e := b.Pick(start.Add(2*time.Second), list[:1], Query{}); e != nil {
 		t.Error("picked within the pause")
 	}
-	if shut := b.Unavailable(start.Add(2*time.Second), list[:1], backpressure.Request{}); len(shut) != 1 {
-		t.Errorf("%v unavailable, want one", shut)
+	if unavailable := b.Unavailable(start.Add(2*time.Second), list[:1], backpressure.Request{}); len(unavailable) != 1 {
+		t.Errorf("%v unavailable, want one", unavailable)
 	}
-	b.said.SetLeaving(start, life("b"), start)
+	b.signals.SetLeaving(start, incarnation("b"), start)
 	if e := b.Pick(start, list[1:], Query{}); e != nil {
 		t.Error("picked a leaving endpoint")
 	}
@@ -83,7 +83,7 @@
 	if e := b.PickLeaving(start.Add(2*time.Second), list, Query{}); e != nil {
 		t.Error("picked a leaving endpoint after the time in which it may get requests")
 	}
-	if d := b.said.Peek(start, life("b"), backpressure.Request{}); d.Open || d.Reason != backpressure.Leaving {
+	if d := b.signals.Peek(start, incarnation("b"), backpressure.Request{}); d.Open || d.Reason != backpressure.Leaving {
 		t.Errorf("%+v", d)
 	}
 }
--- a/coordination/balance/told.go
+++ b/coordination/balance/running.go
@@ -13,7 +13,7 @@
 const (
 	// reportTTL is how long a report of the other daemons' requests is used: as long
 	// as a coordinator counts a daemon's report.
-	toldLife = 3 * time.Second
+	reportTTL = 3 * time.Second
 	// otherDomain is the cost of another failure domain, as a share of an endpoint's
 	// slots.
 	otherDomain = 0.14
@@ -51,7 +51,7 @@
 	for id, n := range all {
 		b.load(id).others = max(0, n-own[id])
 	}
-	b.service(serviceName).toldAt = asOf
+	b.service(serviceName).reportedAt = asOf
 }
 
 // pickByReports picks by the running requests of all daemons, a count that is some hundred
@@ -60,7 +60,7 @@
 // therefore assumes that the requests sent in the meantime fill the endpoints up to one level
 // (water-filling), and picks an endpoint with the probability of its share of them: only the
 // emptiest if few requests arrive, all alike if many do.
-func (b *Balancer) pickTold(now time.Time, s *service, usable []*fleet.Endpoint, q Query) *fleet.Endpoint {
+func (b *Balancer) pickByReports(now time.Time, s *service, usable []*fleet.Endpoint, q Query) *fleet.Endpoint {
 	options := make([]option, len(usable))
 	running := 0
 	for i, e := range usable {
@@ -76,13 +76,13 @@
 		options[i] = option{level: level, slots: float64(b.slots(e)), endpoint: e}
 	}
 	// By Little's law, the rate of new requests is the number running over their run time.
-	unseen := now.Sub(s.toldAt).Seconds() * float64(running) / s.runTime.Seconds()
-	return waterFill(options, 1+unseen, b.rng.Float64())
+	sinceReport := now.Sub(s.reportedAt).Seconds() * float64(running) / s.runTime.Seconds()
+	return waterFill(options, 1+sinceReport, b.rng.Float64())
 }
 
 // nearCapacityShare is the share of taken slots from which an endpoint counts as near its
 // capacity: with the requests that all daemons send before the next report, it may be full.
-const crowdedAt = 0.75
+const nearCapacityShare = 0.75
 
 // NearCapacity reports whether all usable candidates are near their capacity by a recent
 // report. The counts are then too old to find an endpoint with a free slot.
@@ -90,12 +90,12 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	usable := b.usable(now, candidates, q)
-	if len(usable) == 0 || now.Sub(b.service(usable[0].Service).toldAt) >= toldLife {
+	if len(usable) == 0 || now.Sub(b.service(usable[0].Service).reportedAt) >= reportTTL {
 		return false
 	}
 	return !slices.ContainsFunc(usable, func(e *fleet.Endpoint) bool {
 		l := b.load(e.Incarnation())
-		return float64(l.running+l.others) < crowdedAt*float64(b.slots(e))
+		return float64(l.running+l.others) < nearCapacityShare*float64(b.slots(e))
 	})
 }
 
@@ -108,7 +108,7 @@
 
 // waterFill distributes a number of requests over the options, always to the lowest level,
 // and returns the endpoint that gets the request at a position among them, from 0 to 1.
-func waterFill(options []option, requests, part float64) *fleet.Endpoint {
+func waterFill(options []option, requests, position float64) *fleet.Endpoint {
 	slices.SortFunc(options, func(a, b option) int { return cmp.Compare(a.level, b.level) })
 	// Find the common level up to which the lowest options fill: at most that of the next one.
 	slots, taken, level := 0.0, 0.0, 0.0
@@ -120,7 +120,7 @@
 			break
 		}
 	}
-	at := part * requests
+	at := position * requests
 	for _, o := range options {
 		if at -= o.slots * (level - o.level); at < 0 {
 			return o.endpoint
