--- a/coordination/admission/queue.go
+++ b/coordination/admission/queue.go
@@ -1,6 +1,6 @@
-// Package admission keeps one unit's waiting requests in order of worth and
-// refuses, at the moment it is known, each one that cannot be answered before
-// its deadline. It does no I/O and reads no clock.
+// Package admission holds one unit's waiting requests in order of worth. It
+// refuses a request as soon as the request cannot be answered before its
+// deadline any more. It does no I/O and reads no clock.
 package admission
 
 import (
@@ -16,40 +16,42 @@
 	Deadline time.Time
 }
 
-// Estimate is what is known about a unit's service.
+// Estimate is the expected service of a unit.
 type Estimate struct {
 	// Ready is the time until the unit can take its first request.
 	Ready time.Duration
 	// Service is the time one request takes.
 	Service time.Duration
-	// Slots is how many requests this daemon can keep at once on average: its
-	// share of the unit's slots. Its present credit says less, since credit
-	// moves between daemons from one report to the next.
+	// Slots is how many requests this daemon can run at once on average: its
+	// share of the unit's slots. A value of 0 or less counts as 1. The current
+	// credit is a worse measure, since credit moves between daemons from one
+	// report to the next.
 	Slots float64
-	// Refuse, if not empty, is why nothing can be served; After says when to
-	// come back.
+	// RefuseReason, if not empty, is why no request can be served. RetryAfter is
+	// the retry delay then.
 	RefuseReason string
 	RetryAfter   time.Duration
 }
 
-// Reasons of a Refused item that the queue itself gives.
+// Reasons for which the queue itself refuses a request.
 const (
-	// ReasonDeadline: the request would be late.
+	// ReasonDeadline: the request cannot be answered before its deadline.
 	ReasonDeadline = "deadline-cannot-be-met"
-	// ReasonQueueFull: the queue holds only requests of at least its worth.
+	// ReasonQueueFull: the queue is full of requests that come before this one.
 	ReasonQueueFull = "queue-full"
-	// ReasonOutranked: a worthier request took its place.
+	// ReasonOutranked: a request that comes before this one took its place.
 	ReasonOutranked = "outranked"
 )
 
-// Refused is a request that has to be answered now.
+// Refused is a request that is refused and has to be answered now.
 type Refused struct {
 	Item
 	Reason     string
 	RetryAfter time.Duration
 }
 
-// Queue is bounded and sorted. It is not safe for concurrent use.
+// Queue is a bounded queue in order of worth, then deadline, then ID. It is not
+// safe for concurrent use.
 type Queue struct {
 	limit int
 	items []Item // best first
@@ -61,15 +63,16 @@
 // Len returns the number of waiting requests.
 func (q *Queue) Len() int { return len(q.items) }
 
-// Items returns the waiting requests, best first. The caller must not keep it.
+// Items returns the waiting requests, best first. The slice is only valid until
+// the next call that changes the queue.
 func (q *Queue) Items() []Item { return q.items }
 
 func before(a, b Item) int {
 	return cmp.Or(cmp.Compare(b.Worth, a.Worth), a.Deadline.Compare(b.Deadline), cmp.Compare(a.ID, b.ID))
 }
 
-// Push adds a request and returns those that are refused thereby, which may
-// include the request itself.
+// Push adds a request and returns the requests that are refused as a result,
+// which may include the new one.
 func (q *Queue) Push(now time.Time, it Item, est Estimate) []Refused {
 	i, _ := slices.BinarySearchFunc(q.items, it, before)
 	if i >= q.limit {
@@ -86,7 +89,7 @@
 }
 
 // Pop removes and returns the best request that can still be answered in time
-// if it starts now, and the better ones that cannot.
+// if it starts now. It also removes and refuses the better ones that cannot.
 func (q *Queue) Pop(now time.Time, est Estimate) (it Item, ok bool, refused []Refused) {
 	for len(q.items) > 0 {
 		it = q.items[0]
@@ -99,14 +102,16 @@
 	return Item{}, false, refused
 }
 
-// Remove takes out a request whose caller has gone.
+// Remove removes a request that its caller no longer waits for, and reports
+// whether it was in the queue.
 func (q *Queue) Remove(id uint64) bool {
 	before := len(q.items)
 	q.items = slices.DeleteFunc(q.items, func(it Item) bool { return it.ID == id })
 	return len(q.items) < before
 }
 
-// Review refuses each request that cannot be answered in time under est.
+// Review removes and refuses each request that cannot be answered in time under
+// est.
 func (q *Queue) Review(now time.Time, est Estimate) []Refused {
 	var refused []Refused
 	kept := q.items[:0]
--- a/coordination/admission/queue_test.go
+++ b/coordination/admission/queue_test.go
@@ -7,9 +7,9 @@
 	"pgregory.net/rapid"
 )
 
-// Each request leaves the queue exactly once; what is popped is the worthiest
-// that can still be in time; what cannot be in time is refused at the first
-// look, with the time to come back.
+// Each request leaves the queue exactly once. Pop returns the request of the
+// highest worth that can still be answered in time. A request that cannot be
+// answered in time is refused at the next review, with a retry delay.
 func TestQueueInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const limit = 8
@@ -29,7 +29,7 @@
 			for _, r := range list {
 				leave(r.ID)
 				if r.RetryAfter < 0 {
-					t.Fatalf("refused with %s to come back", r.RetryAfter)
+					t.Fatalf("refused with a negative retry delay of %s", r.RetryAfter)
 				}
 			}
 		}
@@ -49,18 +49,18 @@
 				}
 				leave(it.ID)
 				if now.Add(est.Service).After(it.Deadline) {
-					t.Fatal("started too late")
+					t.Fatal("popped a request that cannot be answered in time")
 				}
 				for _, other := range waiting {
 					if other.Worth > it.Worth {
-						t.Fatalf("worth %d went before %d", it.Worth, other.Worth)
+						t.Fatalf("popped a request of worth %d before one of worth %d", it.Worth, other.Worth)
 					}
 				}
 			case 3:
 				refused(q.Review(now, est))
 				for _, it := range waiting {
 					if now.Add(est.Ready + est.Service).After(it.Deadline) {
-						t.Fatal("a request that cannot be in time was kept")
+						t.Fatal("a request that cannot be answered in time was kept")
 					}
 				}
 			}
