--- a/coordination/access/access.go
+++ b/coordination/access/access.go
@@ -1,5 +1,5 @@
-// Package access decides whether a request may be sent on the key that it shows. The
-// package does no I/O and keeps nothing.
+// Package access decides whether a request may be sent with the key that it presents. The
+// package does no I/O and has no state.
 package access
 
 import (
@@ -9,51 +9,50 @@
 	"github.com/doorvalve/doorvalve/state/workspace"
 )
 
-// Bounds are what was agreed on changes of keys. Both are times after the store has
-// confirmed a change.
+// Bounds limit how long a change of keys takes until it applies. Both are times after the
+// store has confirmed the change.
 type Bounds struct {
-	// Apply is when a key that was added must be taken everywhere.
+	// Apply is the time after which every daemon must accept a key that was added.
 	Apply time.Duration
-	// Revoke is when a key that was taken away must not be taken anywhere any more, also
-	// by a daemon that hears from nobody; zero: there is no such bound.
+	// Revoke is the time after which no daemon may accept a key that was removed, not even
+	// a daemon that receives no updates; zero: there is no such bound.
 	Revoke time.Duration
 }
 
-// proofMargin is kept from the bound on keys that were taken away: ages are told in whole
-// milliseconds from daemon to daemon, and clocks of hosts run apart by less than a
-// hundredth.
+// revokeMargin is the part of Revoke that is kept in reserve: daemons exchange ages in whole
+// milliseconds, and the clocks of hosts run apart by less than a hundredth.
 const proofMargin = 0.02
 
-// proven returns the age up to which a desired state shows that a key is still good. A
-// request that arrives now was sent earlier: if what is believed now is as of less than
-// Revoke ago, no key that it still knows had been taken away so long before the sending.
+// maxAge returns the age up to which a directory proves that a key in it is still valid. A
+// request that arrives now was sent earlier: if the directory was current less than Revoke
+// ago, none of its keys had been removed for as long as Revoke when the request was sent.
 func (b Bounds) proven() time.Duration {
 	return time.Duration((1 - proofMargin) * float64(b.Revoke))
 }
 
-// Question is what a decision rests on.
+// Request is the input of a decision.
 type Request struct {
 	Directory  *workspace.Directory
-	Public     bool // the route takes requests without a key
+	Public     bool // the route accepts requests without a key
 	Credential protocol.Credential
-	// Age is up to how long ago it is certain that the directory was in force. It must have
-	// been asked for before the directory.
+	// Age is the staleness bound of Directory, which was certainly current until that long
+	// ago. It must be determined before Directory is read.
 	Age time.Duration
 }
 
-// Outcome is what becomes of a request.
+// Outcome says whether a request may be sent.
 type Outcome int
 
 // The outcomes.
 const (
 	Allowed Outcome = iota
-	// Denied: no workspace has the key.
+	// Denied: the request presents no key of a workspace.
 	Denied
-	// Unproven: this daemon cannot show now whether the key is good.
+	// Unproven: this daemon cannot determine now whether the key is valid.
 	Unproven
 )
 
-// Answer is the decision.
+// Decision is the result of Decide.
 type Decision struct {
 	Outcome   Outcome
 	Workspace *workspace.Workspace // that the request is counted for; nil: none
@@ -68,7 +67,7 @@
 	ReasonUnproven   = "key-unproven"
 )
 
-// Decide decides on one request.
+// Decide decides whether a request may be sent.
 func (b Bounds) Decide(q Request) Decision {
 	if !q.Directory.RequiresKey() {
 		return Decision{}
@@ -80,7 +79,7 @@
 	}
 	switch {
 	case q.Public && !fresh:
-		return Decision{} // goes on, for nobody
+		return Decision{} // allowed, but counted for no workspace
 	case q.Public:
 		return Decision{Workspace: found}
 	case !fresh:
@@ -88,7 +87,7 @@
 	case found != nil:
 		return Decision{Workspace: found}
 	case q.Age > b.Apply && q.Credential.Kind != protocol.CredentialMalformed:
-		// The key, or the route's being public, may be newer than this view.
+		// The key may have been added, or the route made public, since then.
 		return Decision{Outcome: Unproven, Reason: ReasonUnproven}
 	}
 	return Decision{Outcome: Denied, Reason: reasonOf(q.Credential.Kind)}
@@ -104,8 +103,9 @@
 	return ReasonUnknownKey
 }
 
-// StillGood reports whether a key that was good as a request came still is, by the newest
-// directory: what has waited asks again before it is sent.
+// StillValid reports whether the key of a request that was allowed on arrival still belongs to
+// the same workspace, by the newest directory. Requests that have waited are checked again
+// before they are sent.
 func StillValid(newest *workspace.Directory, shown protocol.Credential, public bool, was *workspace.Workspace) bool {
 	if was == nil || public || !newest.RequiresKey() {
 		return true
--- a/coordination/access/access_test.go
+++ b/coordination/access/access_test.go
@@ -30,20 +30,20 @@
 		who    string
 		reason string
 	}{
-		{"nobody needs a key", nil, false, none, time.Hour, Allowed, "", ""},
+		{"no key is required", nil, false, none, time.Hour, Allowed, "", ""},
 		{"a key", directory, false, shown("k1"), time.Second, Allowed, "crew", ""},
-		{"a key in two workspaces is the first one's", directory, false, shown("shared"), time.Second, Allowed, "crew", ""},
+		{"a key in two workspaces belongs to the first", directory, false, shown("shared"), time.Second, Allowed, "crew", ""},
 		{"no key", directory, false, none, time.Second, Denied, "", ReasonNoKey},
-		{"an unreadable one", directory, false, unreadable, time.Second, Denied, "", ReasonBadKey},
-		{"an unknown one", directory, false, shown("k3"), time.Second, Denied, "", ReasonUnknownKey},
-		{"an unknown one, that may be newer than the view", directory, false, shown("k3"), apply + time.Millisecond, Unproven, "", ReasonUnproven},
-		{"no key, on a route that may be public since", directory, false, none, apply + time.Millisecond, Unproven, "", ReasonUnproven},
-		{"an unreadable one, by an old view", directory, false, unreadable, apply + time.Millisecond, Denied, "", ReasonBadKey},
-		{"a known one, by an old view", directory, false, shown("k2"), 4800 * time.Millisecond, Allowed, "night", ""},
-		{"a known one that may have been taken away", directory, false, shown("k2"), revoke, Unproven, "", ReasonUnproven},
+		{"an unreadable key", directory, false, unreadable, time.Second, Denied, "", ReasonBadKey},
+		{"an unknown key", directory, false, shown("k3"), time.Second, Denied, "", ReasonUnknownKey},
+		{"an unknown key that may be newer than the directory", directory, false, shown("k3"), apply + time.Millisecond, Unproven, "", ReasonUnproven},
+		{"no key, on a route that may have become public", directory, false, none, apply + time.Millisecond, Unproven, "", ReasonUnproven},
+		{"an unreadable key, by an old directory", directory, false, unreadable, apply + time.Millisecond, Denied, "", ReasonBadKey},
+		{"a known key, by an old directory", directory, false, shown("k2"), 4800 * time.Millisecond, Allowed, "night", ""},
+		{"a known key that may have been removed", directory, false, shown("k2"), revoke, Unproven, "", ReasonUnproven},
 		{"no key on a public route", directory, true, none, time.Second, Allowed, "", ""},
 		{"a key on a public route", directory, true, shown("k2"), time.Second, Allowed, "night", ""},
-		{"a key on a public route, by an old view", directory, true, shown("k2"), revoke, Allowed, "", ""},
+		{"a key on a public route, by an old directory", directory, true, shown("k2"), revoke, Allowed, "", ""},
 	} {
 		got := Bounds{Apply: apply, Revoke: revoke}.Decide(Request{Directory: c.d, Public: c.public, Credential: c.shown, Age: c.age})
 		who := ""
@@ -55,7 +55,7 @@
 		}
 	}
 	if got := (Bounds{Apply: apply}).Decide(Request{Directory: directory, Credential: shown("k1"), Age: time.Hour}); got.Outcome != Allowed {
-		t.Errorf("a view of any age, without a bound on it: %+v", got)
+		t.Errorf("a directory of any age, without a bound on removed keys: %+v", got)
 	}
 }
 
@@ -72,9 +72,9 @@
 		want   bool
 	}{
 		{"nothing has changed", directory, false, true},
-		{"the key is another workspace's now", moved, false, false},
+		{"the key belongs to another workspace now", moved, false, false},
 		{"the route is public", moved, true, true},
-		{"nobody needs a key any more", nil, false, true},
+		{"no key is required any more", nil, false, true},
 	} {
 		if got := StillValid(c.newest, shown("k1"), c.public, crew); got != c.want {
 			t.Errorf("%s: %v", c.name, got)
