--- a/coordination/access/access.go
+++ b/coordination/access/access.go
@@ -21,13 +21,13 @@
 
 // revokeMargin is the part of Revoke that is kept in reserve: daemons exchange ages in whole
 // milliseconds, and the clocks of hosts run apart by less than a hundredth.
-const proofMargin = 0.02
+const revokeMargin = 0.02
 
 // maxAge returns the age up to which a directory proves that a key in it is still valid. A
 // request that arrives now was sent earlier: if the directory was current less than Revoke
 // ago, none of its keys had been removed for as long as Revoke when the request was sent.
-func (b Bounds) proven() time.Duration {
-	return time.Duration((1 - proofMargin) * float64(b.Revoke))
+func (b Bounds) maxAge() time.Duration {
+	return time.Duration((1 - revokeMargin) * float64(b.Revoke))
 }
 
 // Request is the input of a decision.
@@ -68,33 +68,33 @@
 )
 
 // Decide decides whether a request may be sent.
-func (b Bounds) Decide(q Request) Decision {
-	if !q.Directory.RequiresKey() {
+func (b Bounds) Decide(r Request) Decision {
+	if !r.Directory.RequiresKey() {
 		return Decision{}
 	}
-	fresh := b.Revoke == 0 || q.Age < b.proven()
+	fresh := b.Revoke == 0 || r.Age < b.maxAge()
 	var found *workspace.Workspace
-	if q.Credential.Kind == protocol.CredentialKey {
-		found = q.Directory.ByKey(q.Credential.Key)
+	if r.Credential.Kind == protocol.CredentialKey {
+		found = r.Directory.ByKey(r.Credential.Key)
 	}
 	switch {
-	case q.Public && !fresh:
+	case r.Public && !fresh:
 		return Decision{} // allowed, but counted for no workspace
-	case q.Public:
+	case r.Public:
 		return Decision{Workspace: found}
 	case !fresh:
 		return Decision{Outcome: Unproven, Reason: ReasonUnproven}
 	case found != nil:
 		return Decision{Workspace: found}
-	case q.Age > b.Apply && q.Credential.Kind != protocol.CredentialMalformed:
+	case r.Age > b.Apply && r.Credential.Kind != protocol.CredentialMalformed:
 		// The key may have been added, or the route made public, since then.
 		return Decision{Outcome: Unproven, Reason: ReasonUnproven}
 	}
-	return Decision{Outcome: Denied, Reason: reasonOf(q.Credential.Kind)}
+	return Decision{Outcome: Denied, Reason: reasonOf(r.Credential.Kind)}
 }
 
-func reasonOf(shown protocol.CredentialKind) string {
-	switch shown {
+func reasonOf(kind protocol.CredentialKind) string {
+	switch kind {
 	case protocol.CredentialNone:
 		return ReasonNoKey
 	case protocol.CredentialMalformed:
@@ -106,10 +106,10 @@
 // StillValid reports whether the key of a request that was allowed on arrival still belongs to
 // the same workspace, by the newest directory. Requests that have waited are checked again
 // before they are sent.
-func StillValid(newest *workspace.Directory, shown protocol.Credential, public bool, was *workspace.Workspace) bool {
-	if was == nil || public || !newest.RequiresKey() {
+func StillValid(newest *workspace.Directory, credential protocol.Credential, public bool, allowedFor *workspace.Workspace) bool {
+	if allowedFor == nil || public || !newest.RequiresKey() {
 		return true
 	}
-	now := newest.ByKey(shown.Key)
-	return now != nil && now.Name == was.Name
+	current := newest.ByKey(credential.Key)
+	return current != nil && current.Name == allowedFor.Name
 }
--- a/coordination/access/access_test.go
+++ b/coordination/access/access_test.go
@@ -59,7 +59,7 @@
 	}
 }
 
-func TestWhatWaitsAsksAgain(t *testing.T) {
+func TestStillValid(t *testing.T) {
 	crew := directory.ByName("crew")
 	moved := workspace.NewDirectory([]workspace.Declaration{
 		{Workspace: workspace.Workspace{Name: "crew"}},
