--- a/coordination/grants/grants.go
+++ b/coordination/grants/grants.go
@@ -1,5 +1,5 @@
 // Package grants shares the slots of a group's endpoints among daemons in
-// order of worth. Each daemon reports what waits and what runs there; the
+// order of worth. Each daemon reports its waiting and running requests. The
 // group's coordinator answers with credits, the number of requests that the
 // daemon may keep at an endpoint. The package does no I/O.
 package grants
@@ -25,8 +25,8 @@
 	Waiting  []Waiting
 	InFlight int
 	Arrivals int // since its last report
-	// Shut counts the calls that were refused since then because all endpoints with credit take
-	// none now, by their own word; ShutWorth is that of the last one.
+	// Unavailable counts the requests refused since its last report because every endpoint with
+	// credit had reported that it takes none now. UnavailableWorth is the worth of the last one.
 	Unavailable      int
 	UnavailableWorth int64
 }
@@ -38,12 +38,12 @@
 	Limit    int
 }
 
-// ReportLife is how long a report counts. A daemon that has demand reports
+// ReportTTL is how long a report counts. A daemon that has demand reports
 // several times within it.
 const ReportTTL = 2 * time.Second
 
-// MaxWaitingPerItem bounds what one report can ask for, so that one daemon's
-// count cannot make the allocation slow.
+// MaxWaitingPerItem bounds the requests that one Waiting item counts for, so
+// that one daemon's count cannot make the allocation slow.
 const MaxWaitingPerItem = 1024
 
 type report struct {
@@ -51,18 +51,19 @@
 	units []UnitReport
 }
 
-// Book keeps the daemons' last reports.
+// Allocator holds the daemons' last reports and allocates credits by them. It is
+// not safe for concurrent use.
 type Allocator struct {
 	reports  map[string]report
 	arrivals map[string]int
 }
 
-// NewBook returns an empty book.
+// NewAllocator returns an allocator without reports.
 func NewAllocator() *Allocator {
 	return &Allocator{reports: map[string]report{}, arrivals: map[string]int{}}
 }
 
-// Report records what a daemon said at now.
+// Report records a daemon's report at now, which replaces its previous one.
 func (b *Allocator) Report(now time.Time, daemon string, units []UnitReport) {
 	b.reports[daemon] = report{at: now, units: units}
 	for _, u := range units {
@@ -78,7 +79,8 @@
 	}
 }
 
-// Demand adds up all reports; arrivals count once.
+// Demand adds up the current reports by unit. Each arrival is returned by one
+// call only.
 func (b *Allocator) Demand(now time.Time) map[string]placement.Demand {
 	b.expire(now)
 	total := map[string]placement.Demand{}
@@ -106,7 +108,7 @@
 	return total
 }
 
-// item is one entry of the allocation, in the order in which slots go out.
+// item is one entry of the allocation. Slots are given out in the order of items.
 type item struct {
 	daemon   string
 	unit     string
@@ -119,8 +121,9 @@
 // Allocate returns each daemon's credits.
 //
 // Invariant: the credits for an endpoint never add up to more than its slots.
-// Running requests keep their slots; waiting ones get slots by worth, then by
-// deadline; what is left is shared among the daemons that use the unit.
+// Running requests keep their slots; waiting requests get slots by worth, then
+// by deadline; the remaining slots are shared among the daemons that use the
+// endpoint's units.
 func (b *Allocator) Allocate(now time.Time, replicas []placement.Replica) map[string][]Credit {
 	b.expire(now)
 	a := newAllocation(replicas)
@@ -173,7 +176,7 @@
 	return a
 }
 
-// give hands out slots for one item, each from the endpoint with most left.
+// give allocates slots for one item, each at the endpoint with the most left.
 func (a *allocation) give(it item) {
 	for range it.count {
 		best := ""
@@ -190,8 +193,8 @@
 	}
 }
 
-// shareRest gives standing credits: the slots left at an endpoint in equal
-// parts to the daemons that reported one of its units.
+// shareRest gives credits ahead of demand: it divides the remaining slots of an
+// endpoint equally among the daemons that reported one of its units.
 func (a *allocation) shareRest(b *Allocator) {
 	users := map[string][]creditKey{}
 	for daemon, r := range b.reports {
@@ -225,7 +228,7 @@
 	return byDaemon
 }
 
-// Users returns the number of daemons that have lately reported a unit.
+// Users returns the number of daemons that have recently reported a unit.
 func (b *Allocator) Users(unit string) int {
 	n := 0
 	for _, r := range b.reports {
@@ -238,5 +241,5 @@
 	return n
 }
 
-// Len returns the number of daemons that have reported lately.
+// Len returns the number of daemons that have reported recently.
 func (b *Allocator) Len() int { return len(b.reports) }
--- a/coordination/grants/grants_test.go
+++ b/coordination/grants/grants_test.go
@@ -11,9 +11,8 @@
 	"github.com/doorvalve/doorvalve/state/bundle"
 )
 
-// Credits never add up to more than an endpoint's slots; running requests keep
-// theirs; a worthier waiting request never goes without while a less worthy
-// one of the same unit gets a slot.
+// Credits for an endpoint never add up to more than its slots, and equal reports
+// give equal credits, with random reports of running and waiting requests.
 func TestAllocateInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1_000_000, 0)
@@ -54,12 +53,13 @@
 		}
 		again := b.Allocate(now, replicas)
 		if fmt.Sprint(credits) != fmt.Sprint(again) {
-			t.Fatal("the same reports gave other credits")
+			t.Fatal("the same reports gave different credits")
 		}
 	})
 }
 
-// One slot, three daemons: the worthiest waiting request gets it.
+// Of three daemons, the one with the waiting request of the highest worth gets
+// the only slot.
 func TestAllocateByWorth(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	b := NewAllocator()
@@ -71,7 +71,7 @@
 		t.Errorf("credits %v, want one for d1", credits)
 	}
 	if credits = b.Allocate(now.Add(2*ReportTTL), nil); len(credits) != 0 || b.Len() != 0 {
-		t.Errorf("old reports still count: %v", credits)
+		t.Errorf("expired reports still count: %v", credits)
 	}
 }
 
