--- a/coordination/grants/grants.go
+++ b/coordination/grants/grants.go
@@ -64,27 +64,27 @@
 }
 
 // Report records a daemon's report at now, which replaces its previous one.
-func (b *Allocator) Report(now time.Time, daemon string, units []UnitReport) {
-	b.reports[daemon] = report{at: now, units: units}
+func (al *Allocator) Report(now time.Time, daemon string, units []UnitReport) {
+	al.reports[daemon] = report{at: now, units: units}
 	for _, u := range units {
-		b.arrivals[u.Unit] += u.Arrivals
+		al.arrivals[u.Unit] += u.Arrivals
 	}
 }
 
-func (b *Allocator) expire(now time.Time) {
-	for daemon, r := range b.reports {
+func (al *Allocator) expire(now time.Time) {
+	for daemon, r := range al.reports {
 		if now.Sub(r.at) > ReportTTL {
-			delete(b.reports, daemon)
+			delete(al.reports, daemon)
 		}
 	}
 }
 
 // Demand adds up the current reports by unit. Each arrival is returned by one
 // call only.
-func (b *Allocator) Demand(now time.Time) map[string]placement.Demand {
-	b.expire(now)
+func (al *Allocator) Demand(now time.Time) map[string]placement.Demand {
+	al.expire(now)
 	total := map[string]placement.Demand{}
-	for _, r := range b.reports {
+	for _, r := range al.reports {
 		for _, u := range r.units {
 			d := total[u.Unit]
 			d.InFlight += u.InFlight
@@ -99,12 +99,12 @@
 			total[u.Unit] = d
 		}
 	}
-	for unit, n := range b.arrivals {
+	for unit, n := range al.arrivals {
 		d := total[unit]
 		d.Arrivals = n
 		total[unit] = d
 	}
-	clear(b.arrivals)
+	clear(al.arrivals)
 	return total
 }
 
@@ -124,19 +124,19 @@
 // Running requests keep their slots; waiting requests get slots by worth, then
 // by deadline; the remaining slots are shared among the daemons that use the
 // endpoint's units.
-func (b *Allocator) Allocate(now time.Time, replicas []placement.Replica) map[string][]Credit {
-	b.expire(now)
+func (al *Allocator) Allocate(now time.Time, replicas []placement.Replica) map[string][]Credit {
+	al.expire(now)
 	a := newAllocation(replicas)
-	for _, it := range b.items() {
+	for _, it := range al.items() {
 		a.give(it)
 	}
-	a.shareRest(b)
+	a.shareRest(al)
 	return a.credits()
 }
 
-func (b *Allocator) items() []item {
+func (al *Allocator) items() []item {
 	var items []item
-	for daemon, r := range b.reports {
+	for daemon, r := range al.reports {
 		for _, u := range r.units {
 			if u.InFlight > 0 {
 				items = append(items, item{daemon: daemon, unit: u.Unit, running: true, count: u.InFlight})
@@ -162,16 +162,16 @@
 type creditKey struct{ daemon, unit, endpoint string }
 
 type allocation struct {
-	left  map[string]int      // slots left by endpoint
-	at    map[string][]string // endpoints by unit
-	given map[creditKey]int
+	left      map[string]int      // slots left by endpoint
+	endpoints map[string][]string // endpoints by unit
+	given     map[creditKey]int
 }
 
 func newAllocation(replicas []placement.Replica) *allocation {
-	a := &allocation{left: map[string]int{}, at: map[string][]string{}, given: map[creditKey]int{}}
+	a := &allocation{left: map[string]int{}, endpoints: map[string][]string{}, given: map[creditKey]int{}}
 	for _, r := range replicas {
 		a.left[r.Endpoint.Name] = r.Endpoint.Slots
-		a.at[r.Unit] = append(a.at[r.Unit], r.Endpoint.Name)
+		a.endpoints[r.Unit] = append(a.endpoints[r.Unit], r.Endpoint.Name)
 	}
 	return a
 }
@@ -180,7 +180,7 @@
 func (a *allocation) give(it item) {
 	for range it.count {
 		best := ""
-		for _, e := range a.at[it.unit] {
+		for _, e := range a.endpoints[it.unit] {
 			if a.left[e] > 0 && (best == "" || a.left[e] > a.left[best]) {
 				best = e
 			}
@@ -195,11 +195,11 @@
 
 // shareRest gives credits ahead of demand: it divides the remaining slots of an
 // endpoint equally among the daemons that reported one of its units.
-func (a *allocation) shareRest(b *Allocator) {
+func (a *allocation) shareRest(al *Allocator) {
 	users := map[string][]creditKey{}
-	for daemon, r := range b.reports {
+	for daemon, r := range al.reports {
 		for _, u := range r.units {
-			for _, e := range a.at[u.Unit] {
+			for _, e := range a.endpoints[u.Unit] {
 				users[e] = append(users[e], creditKey{daemon, u.Unit, e})
 			}
 		}
@@ -229,9 +229,9 @@
 }
 
 // Users returns the number of daemons that have recently reported a unit.
-func (b *Allocator) Users(unit string) int {
+func (al *Allocator) Users(unit string) int {
 	n := 0
-	for _, r := range b.reports {
+	for _, r := range al.reports {
 		for _, u := range r.units {
 			if u.Unit == unit {
 				n++
@@ -242,4 +242,4 @@
 }
 
 // Len returns the number of daemons that have reported recently.
-func (b *Allocator) Len() int { return len(b.reports) }
+func (al *Allocator) Len() int { return len(al.reports) }
--- a/coordination/grants/grants_test.go
+++ b/coordination/grants/grants_test.go
@@ -25,7 +25,7 @@
 				replicas = append(replicas, placement.Replica{Unit: fmt.Sprint("u", u), Endpoint: bundle.Endpoint{Name: name, Slots: slots[name]}})
 			}
 		}
-		b := NewAllocator()
+		al := NewAllocator()
 		total := 0
 		for d := range rapid.IntRange(1, 5).Draw(t, "daemons") {
 			var units []UnitReport
@@ -36,9 +36,9 @@
 				}
 				units = append(units, r)
 			}
-			b.Report(now, fmt.Sprint("d", d), units)
+			al.Report(now, fmt.Sprint("d", d), units)
 		}
-		credits := b.Allocate(now, replicas)
+		credits := al.Allocate(now, replicas)
 		used := map[string]int{}
 		for _, list := range credits {
 			for _, c := range list {
@@ -51,7 +51,7 @@
 				t.Fatalf("%s: %d credits for %d slots", e, n, slots[e])
 			}
 		}
-		again := b.Allocate(now, replicas)
+		again := al.Allocate(now, replicas)
 		if fmt.Sprint(credits) != fmt.Sprint(again) {
 			t.Fatal("the same reports gave different credits")
 		}
@@ -62,15 +62,15 @@
 // the only slot.
 func TestAllocateByWorth(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
-	b := NewAllocator()
+	al := NewAllocator()
 	for i, worth := range []int64{1, 9, 5} {
-		b.Report(now, fmt.Sprint("d", i), []UnitReport{{Unit: "u", Waiting: []Waiting{{Worth: worth, Count: 3, Deadline: now.Add(time.Second)}}}})
+		al.Report(now, fmt.Sprint("d", i), []UnitReport{{Unit: "u", Waiting: []Waiting{{Worth: worth, Count: 3, Deadline: now.Add(time.Second)}}}})
 	}
-	credits := b.Allocate(now, []placement.Replica{{Unit: "u", Endpoint: bundle.Endpoint{Name: "e", Slots: 1}}})
+	credits := al.Allocate(now, []placement.Replica{{Unit: "u", Endpoint: bundle.Endpoint{Name: "e", Slots: 1}}})
 	if len(credits) != 1 || len(credits["d1"]) != 1 || credits["d1"][0].Limit != 1 {
 		t.Errorf("credits %v, want one for d1", credits)
 	}
-	if credits = b.Allocate(now.Add(2*ReportTTL), nil); len(credits) != 0 || b.Len() != 0 {
+	if credits = al.Allocate(now.Add(2*ReportTTL), nil); len(credits) != 0 || al.Len() != 0 {
 		t.Errorf("expired reports still count: %v", credits)
 	}
 }
@@ -79,9 +79,9 @@
 	for _, daemons := range []int{7, 50, 370} {
 		b.Run(fmt.Sprint(daemons), func(b *testing.B) {
 			now := time.Unix(1_000_000, 0)
-			book := NewAllocator()
+			al := NewAllocator()
 			for d := range daemons {
-				book.Report(now, fmt.Sprint("d", d), []UnitReport{{Unit: "u0", InFlight: 1}, {Unit: "u1", Waiting: []Waiting{{Worth: 5, Count: 2, Deadline: now}}}})
+				al.Report(now, fmt.Sprint("d", d), []UnitReport{{Unit: "u0", InFlight: 1}, {Unit: "u1", Waiting: []Waiting{{Worth: 5, Count: 2, Deadline: now}}}})
 			}
 			var replicas []placement.Replica
 			for e := range 8 {
@@ -91,7 +91,7 @@
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				book.Allocate(now, replicas)
+				al.Allocate(now, replicas)
 			}
 		})
 	}
