--- a/coordination/drain/drain.go
+++ b/coordination/drain/drain.go
@@ -1,27 +1,27 @@
-// Package drain decides the steps of a planned stop: a graceful shutdown that
-// cuts off no request in progress. It is a state machine without I/O.
+// Package drain decides the steps of a graceful shutdown, which interrupts no
+// request in progress. It is a state machine without I/O.
 package drain
 
 import "time"
 
-// Phase of a daemon's life.
+// Phase is the phase of a daemon's shutdown.
 type Phase string
 
 // The phases, in order.
 const (
-	// Serving takes new requests and is named in address answers.
+	// Serving: the daemon takes new requests and is listed in address answers.
 	Serving Phase = "serving"
-	// Lingering is named in no new answer, but still takes requests, since
-	// callers hold older answers.
+	// Lingering: the daemon is listed in no new address answer, but still takes
+	// requests, since callers hold older answers.
 	Lingering Phase = "lingering"
-	// Finishing takes no new requests and finishes those in progress.
+	// Finishing: the daemon takes no new requests and finishes those in progress.
 	Finishing Phase = "finishing"
-	// Done has nothing left to do.
+	// Done: the daemon may exit.
 	Done Phase = "done"
 )
 
-// SpreadTime is how long it may take until all peers know that this daemon
-// leaves; until then they may name it in new answers.
+// PropagationTime is how long it may take until all peers have been notified
+// that this daemon is leaving. Until then they may list it in new answers.
 const PropagationTime = 2 * time.Second
 
 // Machine is the shutdown of one daemon.
@@ -31,21 +31,23 @@
 	ttl   time.Duration
 }
 
-// New returns a serving machine.
+// New returns a machine in the phase Serving.
 func New() *Machine { return &Machine{phase: Serving} }
 
-// Phase returns the present phase.
+// Phase returns the current phase.
 func (m *Machine) Phase() Phase { return m.phase }
 
-// Stop begins the shutdown. ttl is the longest life of an address answer.
+// Stop begins the shutdown; later calls have no effect. ttl is the longest time
+// for which an address answer is valid.
 func (m *Machine) Stop(now time.Time, ttl time.Duration) {
 	if m.phase == Serving {
 		m.phase, m.since, m.ttl = Lingering, now, ttl
 	}
 }
 
-// Step passes time on. inProgress counts requests not yet answered; released
-// says that every lease has been given up.
+// Step advances the machine to now and returns its phase. inProgress is the
+// number of requests not yet answered; released says that every lease has been
+// released.
 func (m *Machine) Step(now time.Time, inProgress int, released bool) Phase {
 	if m.phase == Lingering && !now.Before(m.since.Add(m.ttl+PropagationTime)) {
 		m.phase = Finishing
