--- a/coordination/rollout/rollout.go
+++ b/coordination/rollout/rollout.go
@@ -1,5 +1,5 @@
 // Package rollout holds the rules by which a bundle comes into force: review,
-// sign-off of the exact digest by somebody other than its author, and one
+// sign-off of the exact digest by a person other than its author, and one
 // pointer that only moves to higher generations. It does no I/O.
 package rollout
 
@@ -14,7 +14,7 @@
 // Error is the class of every error that this package creates.
 var Error = errs.Class("rollout")
 
-// Review is what is recorded of a proposed bundle.
+// Review is the record of a proposed bundle's review.
 type Review struct {
 	Digest   string    `json:"digest"`
 	Author   string    `json:"author"`
@@ -23,7 +23,8 @@
 	SignOffs []string  `json:"sign_offs,omitempty"`
 }
 
-// SignOff adds who to the review.
+// SignOff returns the review with a sign-off by who. It returns an error if who
+// is empty or the author. A second sign-off by the same person changes nothing.
 func (r Review) SignOff(who string) (Review, error) {
 	switch {
 	case who == "":
@@ -47,7 +48,7 @@
 	At         time.Time `json:"at"`
 }
 
-// MaxHistory bounds the steps that the pointer keeps.
+// MaxHistory bounds the length of Pointer.History.
 const MaxHistory = 50
 
 // Pointer names the bundle in force, with the newest steps first.
@@ -57,7 +58,7 @@
 	History []Step `json:"history,omitempty"`
 }
 
-// Conflict says that another rollout came first.
+// Conflict is the error of a rollout that another one has preceded.
 type Conflict struct {
 	Expected uint64
 	Winner   Step
@@ -69,8 +70,9 @@
 		c.Winner.Generation, c.Expected, c.Winner.RolledBy, Short(c.Winner.Digest), c.Winner.At.Format(time.RFC3339))
 }
 
-// Advance returns the pointer after a rollout of the reviewed digest.
-// expected is the generation that the operator saw in force.
+// Advance returns the pointer after a rollout of the reviewed digest. expected is
+// the generation that the operator saw in force; if another one is in force, the
+// error is a *Conflict. A review without a sign-off is an error, too.
 func Advance(p Pointer, r Review, expected uint64, by, writeID string, at time.Time) (Pointer, error) {
 	if p.Generation != expected {
 		return p, &Conflict{Expected: expected, Winner: p.Step}
@@ -83,7 +85,8 @@
 	}, writeID), nil
 }
 
-// Follow returns the pointer that moves to a step.
+// MoveTo returns the pointer after a move to a step. The step before becomes the
+// first one of the history.
 func (p Pointer) MoveTo(s Step, writeID string) Pointer {
 	next := Pointer{WriteID: writeID, Step: s}
 	if p.Generation > 0 {
@@ -93,14 +96,14 @@
 	return next
 }
 
-// Adopt reports whether a daemon whose generation is current takes one that is
-// offered.
+// Adopt reports whether a daemon that has the generation current changes to the
+// generation offered.
 //
 // Invariant: a daemon never goes back to a lower generation, whatever a late
-// watch, a replayed event or a peer with an old view offers.
+// watch, a replayed event or a peer with a stale view offers.
 func Adopt(current, offered uint64) bool { return offered > current }
 
 const shortDigest = 12
 
-// Short returns the first characters of a digest, for people.
+// Short returns the first characters of a digest, for display.
 func Short(digest string) string { return digest[:min(len(digest), shortDigest)] }
