--- a/driver/gate/gate.go
+++ b/driver/gate/gate.go
@@ -1,6 +1,6 @@
-// Package gate is one unit's door on the path of a request: while the daemon
-// has credit at an endpoint, a request takes it with atomic operations alone;
-// otherwise the request waits in order of worth.
+// Package gate admits the requests for one unit. While the daemon has credit at
+// an endpoint, a request takes it with atomic operations alone; otherwise the
+// request waits in order of worth.
 package gate
 
 import (
@@ -20,18 +20,18 @@
 	Endpoint bundle.Endpoint
 	limit    atomic.Int64
 	used     atomic.Int64
-	// avoidUntil keeps new requests away after an error, as Unix nanoseconds.
+	// avoidUntil is when new requests may use the slot after an error, in Unix nanoseconds.
 	avoidUntil atomic.Int64
-	closed     func(bundle.Endpoint) bool // by the endpoint's own word
+	closed     func(bundle.Endpoint) bool // by the endpoint's backpressure signals
 }
 
-// Used returns the number of requests at the endpoint.
+// Used returns the number of requests that use the credit.
 func (s *Slot) Used() int64 { return s.used.Load() }
 
 // Limit returns the credit.
 func (s *Slot) Limit() int64 { return s.limit.Load() }
 
-// take takes one unit of credit if there is one.
+// take takes one unit of credit, if there is one, and reports whether it did.
 func (s *Slot) take(now int64) bool {
 	if s.avoided(now) {
 		return false
@@ -49,7 +49,7 @@
 
 func (s *Slot) avoided(now int64) bool { return s.avoidUntil.Load() > now || s.closed(s.Endpoint) }
 
-// Credit is what the coordinator allows at an endpoint.
+// Credit is the number of requests that the coordinator allows at an endpoint.
 type Credit struct {
 	Endpoint bundle.Endpoint
 	Limit    int
@@ -60,46 +60,47 @@
 	refusal *protocol.Refusal
 }
 
-// Gate is safe for concurrent use.
+// Gate admits the requests for one unit. It is safe for concurrent use.
 type Gate struct {
 	unit   string
-	kick   func() // asks for credit at once
+	kick   func() // requests credit from the coordinator at once
 	closed func(bundle.Endpoint) bool
 	slots  atomic.Pointer[[]*Slot]
 
 	queued   atomic.Int64
 	inFlight atomic.Int64
 	arrivals atomic.Int64
-	shut     atomic.Int64 // requests refused since all endpoints take none now, since the last report
+	shut     atomic.Int64 // requests refused because all endpoints are unavailable, since the last report
 	worth    atomic.Int64 // of the last of them
 	lastUse  atomic.Int64 // Unix nanoseconds
-	service  atomic.Int64 // mean time of a request, in nanoseconds
+	service  atomic.Int64 // moving average of the time of a request, in nanoseconds
 
-	mu      sync.Mutex // queue, waiters and estimate; not on the path while there is credit
+	mu      sync.Mutex // guards queue, waiters and estimate; not taken while there is credit
 	queue   *admission.Queue
 	waiters map[uint64]chan outcome
 	nextID  uint64
 	est     admission.Estimate
-	estAt   time.Time // when est came
+	estAt   time.Time // when est was received
 }
 
-// New returns a gate without credit. kick is called when a request waits; closed says of an
-// endpoint that it takes no requests now, by its own word.
+// New returns a gate without credit. kick is called when a request waits; closed reports whether
+// an endpoint takes no requests now, by its backpressure signals.
 func New(unit string, queueLength int, kick func(), closed func(bundle.Endpoint) bool) *Gate {
 	g := &Gate{unit: unit, kick: kick, closed: closed, queue: admission.NewQueue(queueLength), waiters: map[uint64]chan outcome{}}
 	g.slots.Store(&[]*Slot{})
 	return g
 }
 
-// Request is what the gate needs to know of a request.
+// Request describes a request that needs a slot.
 type Request struct {
 	Worth    int64
 	Deadline time.Time
 	Affinity uint64 // hash of the prompt's prefix; 0 for none
 }
 
-// Acquire takes a slot, waiting in order of worth. The refusal is final and
-// returned at the moment it is decided.
+// Acquire takes a slot, and waits for one in order of worth if need be. It
+// returns either a slot, which the caller must release, or a refusal as soon as
+// that is decided.
 func (g *Gate) Acquire(ctx context.Context, r Request) (*Slot, *protocol.Refusal) {
 	now := time.Now()
 	g.arrivals.Add(1)
@@ -112,8 +113,9 @@
 	return g.wait(ctx, now, r)
 }
 
-// tryTake prefers the endpoint that the prefix hashes to, then the one with
-// the most credit left, so that affinity never overrides the load bound.
+// tryTake takes a slot without waiting, or returns nil. It prefers the endpoint
+// that the prefix hashes to, then the one with the most credit left. Affinity
+// never exceeds an endpoint's credit.
 func (g *Gate) tryTake(affinity uint64, now time.Time) *Slot {
 	slots := *g.slots.Load()
 	if len(slots) == 0 {
@@ -173,7 +175,8 @@
 	}
 }
 
-// abandon takes a request out whose caller has gone or whose time is over.
+// abandon removes a request whose caller has disconnected or whose deadline has
+// passed.
 func (g *Gate) abandon(id uint64, ch chan outcome) *protocol.Refusal {
 	g.mu.Lock()
 	if g.queue.Remove(id) {
@@ -183,7 +186,7 @@
 		return protocol.Refuse(http.StatusServiceUnavailable, admission.ReasonDeadline, "the request's time ended in the queue", time.Second)
 	}
 	g.mu.Unlock()
-	out := <-ch // decided in between
+	out := <-ch // answered in the meantime
 	if out.slot != nil {
 		g.Release(out.slot, 0)
 		return protocol.Refuse(http.StatusServiceUnavailable, admission.ReasonDeadline, "the request's time ended in the queue", time.Second)
@@ -191,11 +194,12 @@
 	return out.refusal
 }
 
-// estimateLife is how long an estimate counts. Reports are more frequent while
-// requests wait; an older estimate says nothing of a request that comes now.
+// estimateTTL is how long an estimate counts. While requests wait, reports are
+// more frequent than that; an older estimate is of no use for a new request.
 const estimateLife = time.Second
 
-// estimate completes the coordinator's estimate; the caller holds the mutex.
+// estimate returns the coordinator's estimate, if it is recent, completed with
+// local data. The caller holds the mutex.
 func (g *Gate) estimate(now time.Time) admission.Estimate {
 	var est admission.Estimate
 	if age := now.Sub(g.estAt); age <= estimateLife {
@@ -211,7 +215,7 @@
 	return est
 }
 
-// refuse answers refused requests; the caller holds the mutex.
+// refuse answers refused requests. The caller holds the mutex.
 func (g *Gate) refuse(refused []admission.Refused) {
 	for _, r := range refused {
 		status := http.StatusServiceUnavailable
@@ -230,7 +234,8 @@
 	}
 }
 
-// dispatch hands free credit to the worthiest; the caller holds the mutex.
+// dispatch gives free credit to the waiting requests of the highest worth. The
+// caller holds the mutex.
 func (g *Gate) dispatch(now time.Time) {
 	for g.queue.Len() > 0 {
 		s := g.tryTake(0, now)
@@ -249,10 +254,11 @@
 	g.queued.Store(int64(g.queue.Len()))
 }
 
-// serviceWeight is the weight of the newest time in the mean: 1/8.
+// serviceWeight is the inverse weight of the newest request's time in the moving
+// average: the weight is 1/8.
 const serviceWeight = 8
 
-// Release gives a slot back. took is the time of a request that ran, or 0.
+// Release returns a slot. took is the time of the request if it ran, or 0.
 func (g *Gate) Release(s *Slot, took time.Duration) {
 	if took > 0 {
 		old := g.service.Load()
@@ -268,13 +274,13 @@
 	}
 }
 
-// Avoid keeps new requests away from a slot's endpoint for a while.
+// Avoid keeps new requests away from a slot's endpoint for a time.
 func (g *Gate) Avoid(s *Slot, d time.Duration) {
 	s.avoidUntil.Store(time.Now().Add(d).UnixNano())
 }
 
-// Shut returns the endpoints that this daemon has credit at, if all of them take no requests now by
-// their own word.
+// Unavailable returns the endpoints at which this daemon has credit if none of them takes requests
+// now, by their backpressure signals; otherwise nil.
 func (g *Gate) Unavailable() []bundle.Endpoint {
 	var list []bundle.Endpoint
 	for _, s := range *g.slots.Load() {
@@ -289,8 +295,8 @@
 	return list
 }
 
-// RefusedShut notes a request that was refused since all endpoints take none now: the coordinator
-// may have another one that does.
+// CountUnavailable counts a request that was refused because all endpoints with credit are
+// unavailable. The coordinator may have another endpoint that takes requests.
 func (g *Gate) CountUnavailable(worth int64) {
 	g.shut.Add(1)
 	g.worth.Store(worth)
@@ -298,8 +304,8 @@
 	g.kick()
 }
 
-// Update sets the credits and the estimate, answers the requests that are
-// thereby out of time and starts those that now can.
+// Update sets the credits and the estimate, starts the waiting requests that the
+// credits allow, and refuses those that cannot be answered in time any more.
 func (g *Gate) Update(now time.Time, credits []Credit, est admission.Estimate) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -309,15 +315,16 @@
 	g.refuse(g.queue.Review(now, g.estimate(now)))
 }
 
-// ForgetEstimate drops the estimate, as after a change of the configuration.
+// ForgetEstimate discards the estimate, as after a change of the configuration.
 func (g *Gate) ForgetEstimate() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.estAt = time.Time{}
 }
 
-// Fail keeps the credits, as the last accepted state, and refuses what waits
-// for credit that nobody can give.
+// Fail keeps the credits, which remain valid as the last state received, and
+// refuses waiting requests if the gate has no credits at any endpoint, since
+// there is no coordinator to give any.
 func (g *Gate) Fail(now time.Time, reason string, after time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -329,7 +336,8 @@
 	g.refuse(g.queue.Review(now, g.estimate(now)))
 }
 
-// Review answers the requests that have run out of time.
+// Review starts waiting requests if credit is free, and refuses those that cannot
+// be answered in time any more.
 func (g *Gate) Review(now time.Time) {
 	if g.queued.Load() == 0 {
 		return
@@ -340,8 +348,8 @@
 	g.refuse(g.queue.Review(now, g.estimate(now)))
 }
 
-// setCredits builds a new list, keeping the slots of endpoints that stay, so
-// that requests in progress still count.
+// setCredits builds a new list of slots. It keeps the slots of endpoints that
+// remain, so that requests in progress still count.
 func (g *Gate) setCredits(credits []Credit) {
 	old := map[string]*Slot{}
 	for _, s := range *g.slots.Load() {
@@ -363,7 +371,7 @@
 	g.slots.Store(&next)
 }
 
-// DropEndpoint takes away the credit at an endpoint that is leaving.
+// DropEndpoint sets the credit to 0 at an endpoint that is leaving.
 func (g *Gate) DropEndpoint(name string) {
 	for _, s := range *g.slots.Load() {
 		if s.Endpoint.Name == name {
@@ -372,19 +380,20 @@
 	}
 }
 
-// Report is what the daemon tells the coordinator.
+// Report is the demand that the daemon reports to the coordinator.
 type Report struct {
 	Waiting  []admission.Item
 	InFlight int64
 	Arrivals int64
 	LastUse  time.Time
 	Service  time.Duration
-	// Shut counts the requests that were refused since all endpoints take none now, and
-	// ShutWorth is that of the last one.
+	// Unavailable counts the requests that were refused because all endpoints with credit were
+	// unavailable, and UnavailableWorth is the worth of the last one.
 	Unavailable, UnavailableWorth int64
 }
 
-// Report returns the present demand; arrivals and refusals are counted once.
+// Report returns the current demand. Its arrivals and refusals are those since the
+// previous call.
 func (g *Gate) Report() Report {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/driver/gate/gate_test.go
+++ b/driver/gate/gate_test.go
@@ -22,10 +22,10 @@
 
 // While a daemon has credit, a request takes no lock and allocates nothing.
 func TestGateCreditAllocatesNothing(t *testing.T) {
-	g := New("m", 16, func() { t.Error("credit was asked for") }, allOpen)
+	g := New("m", 16, func() { t.Error("credit was requested") }, allOpen)
 	g.Update(time.Now(), []Credit{credit("a", 4), credit("b", 4)}, admission.Estimate{})
 	ctx, req := context.Background(), Request{Worth: 1, Deadline: time.Now().Add(time.Hour), Affinity: 7}
-	g.mu.Lock() // the path must not need it
+	g.mu.Lock() // Acquire and Release must not need it
 	defer g.mu.Unlock()
 	allocs := testing.AllocsPerRun(1000, func() {
 		s, refusal := g.Acquire(ctx, req)
@@ -40,8 +40,8 @@
 }
 
 // Every waiting request gets exactly one answer before its deadline, and the
-// slots in use never exceed the credit, while credits come and go and callers
-// give up.
+// slots in use never exceed the credit, while credits change and callers
+// disconnect.
 func TestGateEveryRequestAnsweredOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := New("m", 50, func() {}, allOpen)
@@ -57,7 +57,7 @@
 				ctx, cancel := context.WithDeadline(context.Background(), deadline)
 				defer cancel()
 				if i%17 == 0 {
-					time.AfterFunc(50*time.Millisecond, cancel) // the caller leaves
+					time.AfterFunc(50*time.Millisecond, cancel) // the caller disconnects
 				}
 				s, refusal := g.Acquire(ctx, Request{Worth: int64(i % 5), Deadline: deadline})
 				if time.Now().After(deadline) {
@@ -102,7 +102,8 @@
 	})
 }
 
-// Without a coordinator, waiting requests are refused, and credit is kept.
+// Without a coordinator, credit is kept, and waiting requests are refused only at
+// a gate that has none.
 func TestGateFailKeepsCredit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := New("m", 16, func() {}, allOpen)
@@ -152,7 +153,7 @@
 	})
 }
 
-// An estimate that came long ago refuses nobody.
+// Guards against requests that are refused by an expired estimate.
 func TestGateOldEstimateIsForgotten(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := New("m", 16, func() {}, allOpen)
@@ -172,8 +173,8 @@
 
 func allOpen(bundle.Endpoint) bool { return false }
 
-// Guards against credit that is used at an endpoint that takes no requests now by its own word, and
-// against requests that wait in the queue for it alone.
+// Guards against credit that is used at an endpoint that is closed by its backpressure signals, and
+// against requests that wait in the queue only for such endpoints.
 func TestGateKeepsToWhatEndpointsSay(t *testing.T) {
 	closed := map[string]bool{"a": true}
 	g := New("m", 16, func() {}, func(e bundle.Endpoint) bool { return closed[e.Name] })
@@ -181,11 +182,11 @@
 	g.Update(now, []Credit{{Endpoint: bundle.Endpoint{Name: "a"}, Limit: 9}, {Endpoint: bundle.Endpoint{Name: "b"}, Limit: 1}}, admission.Estimate{})
 	s, refusal := g.Acquire(t.Context(), Request{Deadline: now.Add(time.Second)})
 	if refusal != nil || s.Endpoint.Name != "b" || g.Unavailable() != nil {
-		t.Fatalf("%+v, %v, shut %v", s, refusal, g.Unavailable())
+		t.Fatalf("%+v, %v, unavailable %v", s, refusal, g.Unavailable())
 	}
 	closed["b"] = true
 	if shut := g.Unavailable(); len(shut) != 2 {
-		t.Errorf("%v are shut", shut)
+		t.Errorf("%v are unavailable, want two endpoints", shut)
 	}
 	closed = map[string]bool{}
 	if s, refusal := g.Acquire(t.Context(), Request{Deadline: now.Add(time.Second)}); refusal != nil || s.Endpoint.Name != "a" {
