--- a/driver/gate/gate.go
+++ b/driver/gate/gate.go
@@ -67,13 +67,13 @@
 	closed func(bundle.Endpoint) bool
 	slots  atomic.Pointer[[]*Slot]
 
-	queued   atomic.Int64
-	inFlight atomic.Int64
-	arrivals atomic.Int64
-	shut     atomic.Int64 // requests refused because all endpoints are unavailable, since the last report
-	worth    atomic.Int64 // of the last of them
-	lastUse  atomic.Int64 // Unix nanoseconds
-	service  atomic.Int64 // moving average of the time of a request, in nanoseconds
+	queued           atomic.Int64
+	inFlight         atomic.Int64
+	arrivals         atomic.Int64
+	unavailable      atomic.Int64 // requests refused because all endpoints are unavailable, since the last report
+	unavailableWorth atomic.Int64 // of the last of them
+	lastUse          atomic.Int64 // Unix nanoseconds
+	service          atomic.Int64 // moving average of the time of a request, in nanoseconds
 
 	mu      sync.Mutex // guards queue, waiters and estimate; not taken while there is credit
 	queue   *admission.Queue
@@ -196,13 +196,13 @@
 
 // estimateTTL is how long an estimate counts. While requests wait, reports are
 // more frequent than that; an older estimate is of no use for a new request.
-const estimateLife = time.Second
+const estimateTTL = time.Second
 
 // estimate returns the coordinator's estimate, if it is recent, completed with
 // local data. The caller holds the mutex.
 func (g *Gate) estimate(now time.Time) admission.Estimate {
 	var est admission.Estimate
-	if age := now.Sub(g.estAt); age <= estimateLife {
+	if age := now.Sub(g.estAt); age <= estimateTTL {
 		est = g.est
 		est.Ready = max(0, est.Ready-age)
 	}
@@ -298,8 +298,8 @@
 // CountUnavailable counts a request that was refused because all endpoints with credit are
 // unavailable. The coordinator may have another endpoint that takes requests.
 func (g *Gate) CountUnavailable(worth int64) {
-	g.shut.Add(1)
-	g.worth.Store(worth)
+	g.unavailable.Add(1)
+	g.unavailableWorth.Store(worth)
 	g.lastUse.Store(time.Now().UnixNano())
 	g.kick()
 }
@@ -399,7 +399,7 @@
 	defer g.mu.Unlock()
 	return Report{
 		Waiting: append([]admission.Item(nil), g.queue.Items()...), InFlight: g.inFlight.Load(),
-		Arrivals: g.arrivals.Swap(0), Unavailable: g.shut.Swap(0), UnavailableWorth: g.worth.Load(), LastUse: time.Unix(0, g.lastUse.Load()), Service: time.Duration(g.service.Load()),
+		Arrivals: g.arrivals.Swap(0), Unavailable: g.unavailable.Swap(0), UnavailableWorth: g.unavailableWorth.Load(), LastUse: time.Unix(0, g.lastUse.Load()), Service: time.Duration(g.service.Load()),
 	}
 }
 
--- a/driver/gate/gate_test.go
+++ b/driver/gate/gate_test.go
@@ -158,7 +158,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := New("m", 16, func() {}, allOpen)
 		g.Update(time.Now(), nil, admission.Estimate{RefuseReason: "left-to-scripts", RetryAfter: time.Minute})
-		time.Sleep(2 * estimateLife)
+		time.Sleep(2 * estimateTTL)
 		go func() {
 			time.Sleep(10 * time.Millisecond)
 			g.Update(time.Now(), []Credit{credit("a", 1)}, admission.Estimate{})
@@ -175,7 +175,7 @@
 
 // Guards against credit that is used at an endpoint that is closed by its backpressure signals, and
 // against requests that wait in the queue only for such endpoints.
-func TestGateKeepsToWhatEndpointsSay(t *testing.T) {
+func TestGateRespectsBackpressure(t *testing.T) {
 	closed := map[string]bool{"a": true}
 	g := New("m", 16, func() {}, func(e bundle.Endpoint) bool { return closed[e.Name] })
 	now := time.Now()
@@ -185,8 +185,8 @@
 		t.Fatalf("%+v, %v, unavailable %v", s, refusal, g.Unavailable())
 	}
 	closed["b"] = true
-	if shut := g.Unavailable(); len(shut) != 2 {
-		t.Errorf("%v are unavailable, want two endpoints", shut)
+	if unavailable := g.Unavailable(); len(unavailable) != 2 {
+		t.Errorf("%v are unavailable, want two endpoints", unavailable)
 	}
 	closed = map[string]bool{}
 	if s, refusal := g.Acquire(t.Context(), Request{Deadline: now.Add(time.Second)}); refusal != nil || s.Endpoint.Name != "a" {
