--- a/driver/coordinator/coordinator.go
+++ b/driver/coordinator/coordinator.go
@@ -1,5 +1,5 @@
 // Package coordinator drives the residency of one service on one daemon: the
-// lease that lets one daemon at a time give orders, the planner, its orders
+// lease that allows one daemon at a time to send orders, the planner, its orders
 // and the engines' reports.
 package coordinator
 
@@ -27,34 +27,34 @@
 const (
 	heldTick = 25 * time.Millisecond  // while this daemon holds the lease
 	restTick = 200 * time.Millisecond // otherwise
-	// leastStep is the least time between two steps: what comes meanwhile is
-	// decided together. Orders and loads take longer by far.
+	// minStep is the minimum time between two steps: events that arrive in the
+	// meantime are handled together. Orders and loads take far longer.
 	leastStep = 15 * time.Millisecond
-	// leaseTerm is the life of a lease without renewal. A renewal is due every
-	// third of it, and the store may take half a second on a slow day.
+	// leaseTerm is the validity of a lease without renewal. A renewal is due every
+	// third of it, and a slow store may take half a second.
 	leaseTerm = 2 * time.Second
-	// leaseTimeout bounds a call for the lease: one whose answer is lost must
-	// leave the time to read back before the hold ends.
+	// leaseTimeout bounds a read or write of the lease. After a write whose answer
+	// is lost there must be time left to read the lease before it expires.
 	leaseTimeout = leaseTerm / 4
 	// marginDivisor: a holder stops a quarter of the term early.
 	marginDivisor = 4
-	// orderSlack is added to the gap between two holders' orders: the time
-	// that an order may take on its way.
+	// orderSlack is added to the gap between the orders of two holders. It is the
+	// time that an order may take to reach its engine.
 	orderSlack = 300 * time.Millisecond
 )
 
-// Takeover returns how long a service is without orders after its coordinator
-// has died, when its successor must leave a gap between their orders.
+// TakeoverTime returns how long a service is without orders after its coordinator
+// has failed, if the successor must leave a gap between their orders.
 func TakeoverTime(orderGap time.Duration) time.Duration { return leaseTerm + orderGap + orderSlack }
 
-// LeaseStore keeps the lease.
+// LeaseStore stores leases.
 type LeaseStore interface {
 	// ReadLease returns lease.ErrNotFound, with the store's generation, if there is none.
 	ReadLease(ctx context.Context, name string, v any) (version storeversion.Version, err error)
 	WriteLease(ctx context.Context, name string, expected storeversion.Version, record any) (version storeversion.Version, outcome protocol.WriteOutcome, err error)
 }
 
-// Engines takes orders and gives reports.
+// Engines sends orders to engines and requests their reports.
 type Engines interface {
 	Order(ctx context.Context, o residency.Order) (residency.Outcome, error)
 	Report(ctx context.Context, life fleet.Incarnation, address string) (residency.Report, error)
@@ -63,42 +63,44 @@
 // Options configure a Coordinator.
 type Options struct {
 	Service string
-	Self    string // this host's peer address; names the holder
+	Self    string // this host's peer address; identifies the holder
 	Lease   LeaseStore
 	Engines Engines
-	// OrderGap is the least time between orders of two holders.
+	// OrderGap is the minimum time between the orders of two holders.
 	OrderGap time.Duration
 	Planner  residency.Options
 	// Candidate reports whether this daemon should try to hold the lease. former
-	// says that the lease's record names this host.
+	// says that the lease's record names this host as the holder.
 	Candidate func(service string, former bool) bool
-	// Held is told when this daemon takes or loses the lease.
+	// OnLeaseChange is called when this daemon takes or loses the lease.
 	OnLeaseChange func(service string, fence uint64, held bool)
-	// Heard returns what this daemon has heard of the store's generation and of the lease's fences.
+	// PeerState returns the highest generation of the store and the highest fence of the
+	// lease that this daemon has received from peers; nil: none.
 	PeerState func(service string) lease.PeerState
 	// FirstStart says that the whole system starts for the first time.
 	FirstStart bool
-	// Places returns how many loads at once the weight store was learned to serve, by
-	// this or a former coordinator, zero if nobody knows; PlacesLearned is told of it.
+	// StoreConcurrency returns how many loads at once the weight store serves, as estimated by
+	// this or a former coordinator; zero if unknown. OnStoreConcurrency is called when the
+	// estimate changes.
 	StoreConcurrency   func(service string) int
 	OnStoreConcurrency func(service string, fence uint64, places int)
-	// Clock goes on while the host is suspended, so that the lease lapses meanwhile; nil:
-	// the system's.
+	// Clock must advance while the host is suspended, so that the lease expires meanwhile;
+	// nil: the system's clock.
 	Clock   clock.Clock
 	Log     *decisions.Log
 	Metrics tally.Scope
 }
 
-// Coordinator is safe for concurrent use.
+// Coordinator drives one service's residency. It is safe for concurrent use.
 type Coordinator struct {
 	opt Options
 
 	mu        sync.Mutex
 	lease     *lease.Machine
-	former    string // holder of the record that was taken over
+	former    string // holder named by the record that was taken over
 	plan      *residency.Planner
 	held      bool
-	places    int               // of the weight store, as PlacesLearned was told last
+	places    int               // loads at once of the weight store, as last passed to OnStoreConcurrency
 	addresses map[string]string // of endpoints, by id
 	kick      chan struct{}
 	metrics   metrics
@@ -127,14 +129,14 @@
 	}
 }
 
-// Configure takes the service's engines from the desired state.
+// Configure sets the service's engines, as in the desired state.
 func (c *Coordinator) Configure(e *routing.Engine) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.plan.Configure(residency.Config{Service: c.opt.Service, Engine: e})
 }
 
-// Endpoints takes the present view.
+// SetEndpoints sets the service's endpoints, as in the current view.
 func (c *Coordinator) SetEndpoints(list []*fleet.Endpoint) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -146,7 +148,7 @@
 	c.wake()
 }
 
-// Limited takes the limit that an engine names, or that it names none any more.
+// SetLimit sets the rate limit that an engine reports, or that it no longer reports one.
 func (c *Coordinator) SetLimit(life fleet.Incarnation, w limit.Report) {
 	c.mu.Lock()
 	c.plan.SetLimit(life, w)
@@ -157,7 +159,7 @@
 // wake makes the loop run at once.
 func (c *Coordinator) wake() { wake.Once(c.kick) }
 
-// Want answers where a model is or will be.
+// Want returns where a model is or will be.
 func (c *Coordinator) Want(w residency.Want) residency.Answer {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -167,14 +169,14 @@
 	return a
 }
 
-// Demand takes what a daemon says of its requests.
+// ReceiveDemand records a daemon's report of its requests.
 func (c *Coordinator) ReceiveDemand(daemon string, d residency.Demand) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.plan.ReceiveDemand(c.opt.Clock(), daemon, d)
 }
 
-// Running returns what runs at each engine, by what all daemons have told lately.
+// Running returns the running requests at each engine, by the recent reports of all daemons.
 func (c *Coordinator) Running() []residency.Running {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -188,14 +190,15 @@
 	return c.held
 }
 
-// Holder returns the holder that the lease's record names, if it was read.
+// Holder returns the holder named by the lease's record; empty if there is none or if the
+// record was not read yet.
 func (c *Coordinator) Holder() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.lease.LastRecord().Holder
 }
 
-// Run passes time on until ctx ends.
+// Run steps the coordinator until ctx ends.
 func (c *Coordinator) Run(ctx context.Context) {
 	t := time.NewTimer(0)
 	defer t.Stop()
@@ -215,7 +218,8 @@
 	}
 }
 
-// step does what the machines ask for, and reports whether the lease is held.
+// step carries out the actions of the lease machine and the planner, and reports
+// whether the lease is held.
 func (c *Coordinator) step(ctx context.Context, now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -235,7 +239,7 @@
 	return true
 }
 
-// tellPlaces tells what was learned of the weight store, when that has changed. The
+// reportStoreConcurrency calls OnStoreConcurrency if the estimate of it has changed. The
 // caller holds the mutex.
 func (c *Coordinator) tellPlaces() {
 	learned := c.plan.StoreConcurrency()
@@ -267,13 +271,12 @@
 	}
 }
 
-// wasHolder reports whether this host is the one that the lease's record names,
-// as after a restart of its daemon. It is the same holder to engines, and may
-// order at once where another would have to wait; the caller holds the mutex.
+// wasHolder reports whether the lease's record names this host as the holder, as
+// after a restart of its daemon. To engines it is the same holder, and may send
+// orders at once where another one would have to wait. The caller holds the mutex.
 func (c *Coordinator) wasHolder() bool { return c.lease.LastRecord().Holder == c.opt.Self }
 
-// leaseChanged begins or ends the giving of orders. The caller holds the
-// mutex.
+// leaseChanged starts or stops the sending of orders. The caller holds the mutex.
 func (c *Coordinator) leaseChanged(now time.Time, fence uint64, held bool) {
 	c.held = held
 	c.metrics.leases.Inc(1)
@@ -318,7 +321,7 @@
 	c.wake()
 }
 
-// order checks the lease once more right before it sends.
+// order sends an order, after a last check that the lease is still held.
 func (c *Coordinator) order(ctx context.Context, o residency.Order) {
 	c.mu.Lock()
 	fence, held := c.lease.Holds(c.opt.Clock())
--- a/driver/coordinator/coordinator_test.go
+++ b/driver/coordinator/coordinator_test.go
@@ -52,7 +52,7 @@
 	return f.version, protocol.WriteOK, nil
 }
 
-// noEngines answers nothing.
+// noEngines fails every call.
 type noEngines struct{}
 
 var errNoEngine = errors.New("no engine")
@@ -67,7 +67,7 @@
 
 const orderGap = 3 * time.Second
 
-// start runs a coordinator over a lease; it ends with the test.
+// start runs a coordinator with a lease store until the test ends.
 func start(t *testing.T, f *fakeLease, self string, candidate bool) *Coordinator {
 	ctx, cancel := context.WithCancel(t.Context())
 	log := decisions.New(io.Discard, "test", hclog.Off)
@@ -84,15 +84,15 @@
 	return c
 }
 
-// A host that held the lease before its daemon was restarted takes it back at
-// once, whoever the candidates are: to engines it is the same holder.
+// A host that held the lease before a restart of its daemon takes it back at once,
+// even if it is no candidate: to engines it is the same holder.
 func TestRestartedHolderTakesItsLeaseBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeLease{record: lease.Record{Holder: "h1", Fence: 7, Term: leaseTerm}, version: storeversion.Version{Revision: 3}}
 		c := start(t, f, "h1", false)
 		time.Sleep(time.Second)
 		if !c.Holds() {
-			t.Fatal("the lease waits for its term to end, and its engines for the gap between two holders")
+			t.Fatal("the former holder has not taken the lease back within a second")
 		}
 		if f.record.Fence != 8 {
 			t.Fatalf("fence %d after 7", f.record.Fence)
@@ -100,20 +100,20 @@
 	})
 }
 
-// A daemon that is no candidate leaves the lease of another host alone, also
-// when it has lapsed.
+// A daemon that is no candidate does not take the lease of another host, even if
+// the lease has expired.
 func TestNoCandidateTakesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeLease{record: lease.Record{Holder: "h2", Fence: 7, Term: leaseTerm}, version: storeversion.Version{Revision: 3}}
 		c := start(t, f, "h1", false)
 		time.Sleep(time.Minute)
 		if c.Holds() || f.record.Holder != "h2" {
-			t.Fatalf("taken: %+v", f.record)
+			t.Fatalf("taken by a daemon that is no candidate: %+v", f.record)
 		}
 	})
 }
 
-// A candidate takes a lapsed lease after a term, and gives no order before the
+// A candidate takes an expired lease after a term, and sends no order before the
 // gap between two holders is over.
 func TestCandidateTakesOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -121,11 +121,11 @@
 		c := start(t, f, "h1", true)
 		time.Sleep(leaseTerm - 50*time.Millisecond)
 		if c.Holds() {
-			t.Fatal("taken before its term was over")
+			t.Fatal("lease taken before the end of its term")
 		}
 		time.Sleep(time.Second)
 		if !c.Holds() || f.record.Fence != 8 {
-			t.Fatalf("not taken: %+v", f.record)
+			t.Fatalf("expired lease not taken: %+v", f.record)
 		}
 		if a := c.Want(residency.Want{Model: "m"}); a.Refused != residency.RefusedNoModel {
 			t.Fatalf("%+v", a)
--- a/driver/coordinator/restore_test.go
+++ b/driver/coordinator/restore_test.go
@@ -9,7 +9,7 @@
 	"github.com/doorvalve/doorvalve/state/storeversion"
 )
 
-// restore brings the lease back as an older copy has it, nil for none, in the next generation.
+// restore replaces the lease by an older copy, nil for none, in the next generation.
 func (f *fakeLease) restore(copied *lease.Record) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -20,21 +20,21 @@
 	}
 }
 
-// kept returns the record in the store.
+// stored returns the record in the store.
 func (f *fakeLease) kept() lease.Record {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.record
 }
 
-// fence returns that of the coordinator's present hold, or of its last one.
+// fence returns the fence of the lease that the coordinator holds now or held last.
 func (c *Coordinator) fence() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.lease.Fence()
 }
 
-// without returns the longest time that a coordinator does not hold the lease within another.
+// longestGap returns the longest time within a period for which a coordinator does not hold the lease.
 func without(c *Coordinator, within time.Duration) (longest time.Duration) {
 	gap := time.Duration(0)
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
@@ -48,7 +48,7 @@
 }
 
 // Guards against a service without a coordinator, or with two, after the store has lost the lease:
-// its holder writes it again, under the same fence, and nobody else takes it.
+// its holder writes it again, under the same fence, and no other daemon takes it.
 func TestHolderWritesItsLeaseAgain(t *testing.T) {
 	for name, copied := range map[string]*lease.Record{
 		"lost": nil, "of an older holder": {Holder: "h3", Fence: 4, Term: leaseTerm, Generation: 1}, "released": {Fence: 4, Term: leaseTerm, Generation: 1},
@@ -69,7 +69,7 @@
 					t.Errorf("the holder was without the lease for %v", gap)
 				}
 				if other.Holds() || holder.fence() != fence {
-					t.Errorf("another holds it: %v, fence %d, %d before", other.Holds(), holder.fence(), fence)
+					t.Errorf("another daemon holds the lease: %v; the holder's fence is %d, was %d", other.Holds(), holder.fence(), fence)
 				}
 				if rec := f.kept(); rec.Holder != "h1" || rec.Generation != 2 {
 					t.Errorf("the record was not written again: %+v", rec)
@@ -79,8 +79,8 @@
 	}
 }
 
-// Guards against a lease that is taken at once because an older copy says that it is free, or the
-// taker's own, while another may still hold it.
+// Guards against a daemon that takes a lease at once because an older copy has it as free, or as the
+// daemon's own, while another one may still hold it.
 func TestNobodyTakesALeaseRightAfterARestore(t *testing.T) {
 	for name, copied := range map[string]*lease.Record{
 		"lost": nil, "released": {Fence: 4, Term: leaseTerm, Generation: 1}, "its own": {Holder: "h2", Fence: 4, Term: leaseTerm, Generation: 1},
--- a/driver/coordinator/suspended_test.go
+++ b/driver/coordinator/suspended_test.go
@@ -15,7 +15,7 @@
 	"github.com/doorvalve/doorvalve/driver/decisions"
 )
 
-// countingEngines takes orders.
+// countingEngines accepts and counts orders.
 type countingEngines struct {
 	noEngines
 	orders atomic.Int64
@@ -26,9 +26,9 @@
 	return residency.Accepted, nil
 }
 
-// A host is suspended for ten seconds, and its lease lapses meanwhile by the clock of all
-// others. The order that it was about to send as it fell asleep does not go out when it
-// wakes, though no timer of its own has run.
+// Guards against an order that is sent under an expired lease: a host is suspended for ten
+// seconds right before it sends the order, and meanwhile its lease expires by the clock of
+// all other hosts. After it resumes, none of its timers has run yet.
 func TestSuspendedHolderSendsNoOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var suspended atomic.Int64
@@ -48,12 +48,12 @@
 		o := residency.Order{Fence: f.record.Fence}
 		c.order(t.Context(), o)
 		if n := engines.orders.Load(); n != 1 {
-			t.Fatalf("%d orders of the holder", n)
+			t.Fatalf("%d orders sent while the lease was held, want 1", n)
 		}
 		suspended.Store(int64(10 * time.Second))
 		c.order(t.Context(), o)
 		if n := engines.orders.Load(); n != 1 {
-			t.Fatal("an order went out under a lease that had lapsed")
+			t.Fatal("an order was sent under an expired lease")
 		}
 		log.Close()
 	})
