--- a/driver/coordinator/coordinator.go
+++ b/driver/coordinator/coordinator.go
@@ -29,7 +29,7 @@
 	restTick = 200 * time.Millisecond // otherwise
 	// minStep is the minimum time between two steps: events that arrive in the
 	// meantime are handled together. Orders and loads take far longer.
-	leastStep = 15 * time.Millisecond
+	minStep = 15 * time.Millisecond
 	// leaseTerm is the validity of a lease without renewal. A renewal is due every
 	// third of it, and a slow store may take half a second.
 	leaseTerm = 2 * time.Second
@@ -57,7 +57,7 @@
 // Engines sends orders to engines and requests their reports.
 type Engines interface {
 	Order(ctx context.Context, o residency.Order) (residency.Outcome, error)
-	Report(ctx context.Context, life fleet.Incarnation, address string) (residency.Report, error)
+	Report(ctx context.Context, incarnation fleet.Incarnation, address string) (residency.Report, error)
 }
 
 // Options configure a Coordinator.
@@ -83,7 +83,7 @@
 	// this or a former coordinator; zero if unknown. OnStoreConcurrency is called when the
 	// estimate changes.
 	StoreConcurrency   func(service string) int
-	OnStoreConcurrency func(service string, fence uint64, places int)
+	OnStoreConcurrency func(service string, fence uint64, concurrency int)
 	// Clock must advance while the host is suspended, so that the lease expires meanwhile;
 	// nil: the system's clock.
 	Clock   clock.Clock
@@ -95,15 +95,15 @@
 type Coordinator struct {
 	opt Options
 
-	mu        sync.Mutex
-	lease     *lease.Machine
-	former    string // holder named by the record that was taken over
-	plan      *residency.Planner
-	held      bool
-	places    int               // loads at once of the weight store, as last passed to OnStoreConcurrency
-	addresses map[string]string // of endpoints, by id
-	kick      chan struct{}
-	metrics   metrics
+	mu               sync.Mutex
+	lease            *lease.Machine
+	former           string // holder named by the record that was taken over
+	plan             *residency.Planner
+	held             bool
+	storeConcurrency int               // loads at once of the weight store, as last passed to OnStoreConcurrency
+	addresses        map[string]string // of endpoints, by id
+	kick             chan struct{}
+	metrics          metrics
 }
 
 type metrics struct {
@@ -149,9 +149,9 @@
 }
 
 // SetLimit sets the rate limit that an engine reports, or that it no longer reports one.
-func (c *Coordinator) SetLimit(life fleet.Incarnation, w limit.Report) {
+func (c *Coordinator) SetLimit(incarnation fleet.Incarnation, r limit.Report) {
 	c.mu.Lock()
-	c.plan.SetLimit(life, w)
+	c.plan.SetLimit(incarnation, r)
 	c.mu.Unlock()
 	c.wake()
 }
@@ -214,7 +214,7 @@
 		} else {
 			t.Reset(restTick)
 		}
-		pause.For(ctx, leastStep)
+		pause.For(ctx, minStep)
 	}
 }
 
@@ -228,28 +228,28 @@
 		return false
 	}
 	r := c.plan.Ready(now)
-	for _, life := range r.Probes {
+	for _, incarnation := range r.Probes {
 		c.metrics.probes.Inc(1)
-		go c.report(ctx, life, c.addresses[life.ID])
+		go c.report(ctx, incarnation, c.addresses[incarnation.ID])
 	}
 	for _, o := range r.Orders {
 		go c.order(ctx, o)
 	}
-	c.tellPlaces()
+	c.reportStoreConcurrency()
 	return true
 }
 
 // reportStoreConcurrency calls OnStoreConcurrency if the estimate of it has changed. The
 // caller holds the mutex.
-func (c *Coordinator) tellPlaces() {
-	learned := c.plan.StoreConcurrency()
-	if learned.Estimate == c.places {
+func (c *Coordinator) reportStoreConcurrency() {
+	current := c.plan.StoreConcurrency()
+	if current.Estimate == c.storeConcurrency {
 		return
 	}
 	fence, _ := c.lease.Holds(c.opt.Clock())
-	c.opt.Log.Info(decisions.EventStoreConcurrency, "service", c.opt.Service, "places", learned.Estimate, "before", c.places)
-	c.places = learned.Estimate
-	go c.opt.OnStoreConcurrency(c.opt.Service, fence, learned.Estimate)
+	c.opt.Log.Info(decisions.EventStoreConcurrency, "service", c.opt.Service, "places", current.Estimate, "before", c.storeConcurrency)
+	c.storeConcurrency = current.Estimate
+	go c.opt.OnStoreConcurrency(c.opt.Service, fence, current.Estimate)
 }
 
 func (c *Coordinator) stepLease(ctx context.Context, now time.Time) {
@@ -285,8 +285,8 @@
 		from = now.Add(c.opt.OrderGap + orderSlack)
 	}
 	if held {
-		c.places = c.opt.StoreConcurrency(c.opt.Service)
-		c.plan.SetStoreConcurrency(c.places)
+		c.storeConcurrency = c.opt.StoreConcurrency(c.opt.Service)
+		c.plan.SetStoreConcurrency(c.storeConcurrency)
 	}
 	c.plan.SetLease(now, residency.Lease{Held: held, Fence: fence, First: c.lease.FirstHold(), OrdersFrom: from})
 	c.opt.Log.Info(decisions.EventLease, "service", c.opt.Service, "held", held, "fence", fence, "former", c.former, "orders_in_ms", from.Sub(now).Milliseconds())
@@ -340,13 +340,13 @@
 	c.wake()
 }
 
-func (c *Coordinator) report(ctx context.Context, life fleet.Incarnation, address string) {
-	r, err := c.opt.Engines.Report(ctx, life, address)
+func (c *Coordinator) report(ctx context.Context, incarnation fleet.Incarnation, address string) {
+	r, err := c.opt.Engines.Report(ctx, incarnation, address)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if err != nil {
-		c.opt.Log.Debug("no report", "endpoint", life.ID, "error", err)
-		c.plan.ReportFailed(c.opt.Clock(), life)
+		c.opt.Log.Debug("no report", "endpoint", incarnation.ID, "error", err)
+		c.plan.ReportFailed(c.opt.Clock(), incarnation)
 		return
 	}
 	c.plan.ReceiveReport(c.opt.Clock(), r)
--- a/driver/coordinator/coordinator_test.go
+++ b/driver/coordinator/coordinator_test.go
@@ -102,7 +102,7 @@
 
 // A daemon that is no candidate does not take the lease of another host, even if
 // the lease has expired.
-func TestNoCandidateTakesNothing(t *testing.T) {
+func TestNonCandidateTakesNoLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeLease{record: lease.Record{Holder: "h2", Fence: 7, Term: leaseTerm}, version: storeversion.Version{Revision: 3}}
 		c := start(t, f, "h1", false)
--- a/driver/coordinator/restore_test.go
+++ b/driver/coordinator/restore_test.go
@@ -21,7 +21,7 @@
 }
 
 // stored returns the record in the store.
-func (f *fakeLease) kept() lease.Record {
+func (f *fakeLease) stored() lease.Record {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.record
@@ -35,7 +35,7 @@
 }
 
 // longestGap returns the longest time within a period for which a coordinator does not hold the lease.
-func without(c *Coordinator, within time.Duration) (longest time.Duration) {
+func longestGap(c *Coordinator, within time.Duration) (longest time.Duration) {
 	gap := time.Duration(0)
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		gap += 10 * time.Millisecond
@@ -65,13 +65,13 @@
 				time.Sleep(time.Second)
 				fence := holder.fence()
 				f.restore(copied)
-				if gap := without(holder, 10*time.Second); gap > 50*time.Millisecond {
+				if gap := longestGap(holder, 10*time.Second); gap > 50*time.Millisecond {
 					t.Errorf("the holder was without the lease for %v", gap)
 				}
 				if other.Holds() || holder.fence() != fence {
 					t.Errorf("another daemon holds the lease: %v; the holder's fence is %d, was %d", other.Holds(), holder.fence(), fence)
 				}
-				if rec := f.kept(); rec.Holder != "h1" || rec.Generation != 2 {
+				if rec := f.stored(); rec.Holder != "h1" || rec.Generation != 2 {
 					t.Errorf("the record was not written again: %+v", rec)
 				}
 			})
