--- a/driver/placer/demand.go
+++ b/driver/placer/demand.go
@@ -9,7 +9,8 @@
 	"github.com/doorvalve/doorvalve/state/bundle"
 )
 
-// HandleDemand serves the Demand call.
+// HandleDemand serves the Demand call of a peer. The response has Coordinator
+// unset if this daemon does not coordinate the group.
 func (p *Placer) HandleDemand(req *peerpb.DemandRequest) *peerpb.DemandResponse {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -30,7 +31,7 @@
 	return resp
 }
 
-// ReasonScripts says that the operator's scripts still run the service.
+// ReasonScripts is the refusal reason while the operator's scripts run the service.
 const ReasonScripts = "left-to-scripts"
 
 func (p *Placer) estimate(now time.Time, unit string) *peerpb.Estimate {
@@ -60,9 +61,9 @@
 	return n
 }
 
-// allocate shares the slots anew. With many reports it does so only now and
-// then, so that its cost neither grows with the square of the daemons nor
-// takes more than a fiftieth of a core.
+// allocate divides the slots again. With many reports it does so only at
+// intervals, so that its cost neither grows with the square of the number of
+// daemons nor exceeds a fiftieth of a core.
 func (p *Placer) allocate(now time.Time) {
 	if p.book.Len() > smallBook && now.Before(p.allocNext) {
 		return
--- a/driver/placer/placer.go
+++ b/driver/placer/placer.go
@@ -1,5 +1,6 @@
 // Package placer drives one group's coordination on one daemon: the lease and
-// the placement it guards, the endpoints' states, and the sharing of slots.
+// the placement that it guards, the endpoints' states, and the allocation of
+// slots.
 package placer
 
 import (
@@ -25,37 +26,37 @@
 
 const (
 	tick          = 25 * time.Millisecond
-	pollBusy      = 100 * time.Millisecond // while loads are under way or requests wait
+	pollBusy      = 100 * time.Millisecond // while units change their state or requests wait
 	pollRest      = time.Second
 	orderTTL      = 3 * time.Second
 	resendAfter   = time.Second
 	retryAfter    = 250 * time.Millisecond
 	marginDivisor = 4 // a holder stops a quarter of the term early
 	allocateEvery = 20 * time.Millisecond
-	allocateRest  = 50 // times what the last allocation took
+	allocateRest  = 50 // pause after an allocation, as a multiple of its duration
 	refreshEvery  = 250 * time.Millisecond
-	restTick      = 250 * time.Millisecond // while this daemon has no part in the group
-	// smallBook is the number of reports up to which every report is answered
-	// with a fresh allocation.
+	restTick      = 250 * time.Millisecond // while this daemon has no role in the group
+	// smallGroup is the number of reporting daemons up to which every report is
+	// answered with a fresh allocation.
 	smallBook = 16
 )
 
-// Roles tells a placer what the membership says of it. All functions must be
+// Roles connects a placer to the membership of the daemons. All methods must be
 // safe for concurrent use.
 type Roles interface {
-	// Coordinates reports whether this daemon answers the group's demand.
+	// Coordinates reports whether this daemon answers the group's Demand calls.
 	Coordinates(group string) bool
 	// Candidate reports whether this daemon should try to hold the lease.
 	Candidate(group string) bool
 	// Leaving reports whether an endpoint is being taken out of service.
 	Leaving(endpoint string) bool
-	// Fence returns the highest fence of the group's lease that this daemon has heard of.
+	// Fence returns the highest fence of the group's lease that was announced to this daemon.
 	Fence(group string) uint64
-	// LastHolder returns who held the lease under that fence, empty after a release.
+	// LastHolder returns the holder of the lease under that fence, empty after a release.
 	LastHolder(group string) placement.FormerHolder
-	// Held tells all daemons who holds the group's lease.
+	// AnnounceHolder announces to all daemons whether this daemon holds the group's lease.
 	AnnounceHolder(group string, fence uint64, held bool)
-	// Quiescent asks whether a former holder has no orders out any more.
+	// Quiescent reports whether no order of a former holder can still arrive. It may ask the holder.
 	Quiescent(ctx context.Context, holder, group string, fence uint64) bool
 }
 
@@ -66,7 +67,7 @@
 	LeaseTerm time.Duration
 	// FirstStart says that the whole system starts for the first time.
 	FirstStart bool
-	// Generations keeps the highest generation of the platform; nil: it names none.
+	// Generations holds the highest generation of the platform; nil: the platform has none.
 	Generations *generations.Tracker
 	Platform    *platform.Client
 	Engines     *engine.Client
@@ -74,12 +75,13 @@
 	Log         *decisions.Log
 }
 
+// poll is the state of the polling of one endpoint.
 type poll struct {
-	out bool
-	at  time.Time // of the last one
+	out bool      // a poll is in progress
+	at  time.Time // start of the last poll; zero: poll at once
 }
 
-// Placer is safe for concurrent use.
+// Placer drives one group's coordination. It is safe for concurrent use.
 type Placer struct {
 	opt Options
 	log *decisions.Log
@@ -92,16 +94,17 @@
 	polls   map[string]*poll
 	policy  bundle.Policy
 	held    bool
-	// ordersFrom and unrecorded hold orders back after a restore of the platform has lost who held the
-	// lease: until the orders of the last holder have lapsed, and it has none out any more.
+	// ordersFrom and unrecorded hold orders back after a restore of the platform has lost the record of
+	// the lease's holder: until the orders of the last known holder have expired, and that holder has
+	// reported that none can still arrive.
 	ordersFrom  time.Time
 	unrecorded  *placement.FormerHolder
 	releasing   bool
 	allocated   map[string][]grants.Credit
-	allocNext   time.Time // not before, with many reports
+	allocNext   time.Time // earliest next allocation, with many reports
 	refreshedAt time.Time
-	asked       time.Time // last question to former holders
-	asking      bool
+	asked       time.Time // last query to former holders
+	asking      bool      // a query is in progress
 }
 
 // New returns a placer for one group.
@@ -112,7 +115,7 @@
 	}
 }
 
-// Configure brings a generation into force.
+// Configure applies a generation of the configuration.
 func (p *Placer) Configure(s *snapshot.Snapshot) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -134,8 +137,8 @@
 	}
 }
 
-// newPlacement makes the machine on the first configuration. A later change of
-// the policy alone keeps the machine.
+// newPlacement creates the placement machine on the first configuration. Later
+// calls replace only its policy.
 func (p *Placer) newPlacement(policy bundle.Policy) {
 	p.policy = policy
 	keep := keepalive.New(keepalive.Options{
@@ -151,7 +154,7 @@
 	})
 }
 
-// Run passes time on until ctx ends.
+// Run steps the placer until ctx ends.
 func (p *Placer) Run(ctx context.Context) {
 	t := time.NewTimer(tick)
 	defer t.Stop()
@@ -169,7 +172,7 @@
 	}
 }
 
-// Release gives the lease up for a planned stop.
+// Release releases the lease for a graceful shutdown.
 func (p *Placer) Release() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -177,7 +180,7 @@
 	p.lease.Step(clock.Now(), lease.Release{})
 }
 
-// Released reports whether the lease is not held any more.
+// Released reports whether the lease is not held.
 func (p *Placer) Released() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -185,8 +188,8 @@
 	return !held
 }
 
-// step passes time on and does what the machines ask for. It reports whether
-// this daemon has a part in the group.
+// step carries out the actions of the lease and placement machines. It reports
+// whether this daemon has a role in the group.
 func (p *Placer) step(ctx context.Context, now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -213,8 +216,8 @@
 	return true
 }
 
-// refresh lets the demand of daemons that report no more lapse, and looks for
-// endpoints that are taken out of service.
+// refresh expires the demand of daemons that no longer report, and checks which
+// endpoints are being taken out of service.
 func (p *Placer) refresh(now time.Time) {
 	if now.Sub(p.refreshedAt) < refreshEvery {
 		return
@@ -243,9 +246,9 @@
 		if held && p.lease.FormerUnknown() {
 			p.awaitFormer(now)
 		}
-		// A lapse is not announced: until another daemon holds the lease, as
-		// in an outage, this one knows the group best and stays its
-		// coordinator.
+		// The expiry of the lease is not announced: until another daemon holds
+		// it, as in an outage, this one has the best state of the group and
+		// remains its coordinator.
 		if held || p.releasing {
 			go p.opt.Roles.AnnounceHolder(p.opt.Group, p.lease.Fence(), held)
 		}
@@ -253,8 +256,9 @@
 	p.place.Step(now, placement.LeaseChanged{Held: held && p.unrecorded == nil && !now.Before(p.ordersFrom), Fence: fence, TakeoverAt: p.takeoverAt(now)})
 }
 
-// awaitFormer holds orders back until those of a holder that no record names have lapsed. Endpoints
-// that do not check fencing numbers take them later as well, so the last holder known is asked.
+// awaitFormer holds orders back until those of a former holder without a record have expired.
+// Endpoints that do not check fencing numbers may take them even later, so the last known holder is
+// also asked.
 func (p *Placer) awaitFormer(now time.Time) {
 	p.ordersFrom = now.Add(orderTTL)
 	last := p.opt.Roles.LastHolder(p.opt.Group)
@@ -265,8 +269,8 @@
 	p.unrecorded = &last
 }
 
-// takeoverAt is the lease's, whose clock goes on while the host is suspended, by the clock
-// of the placement, whose orders bear the time of day.
+// takeoverAt converts the lease's takeover time to the clock of the placement. The lease's clock
+// advances while the host is suspended; the placement uses the time of day, as its orders do.
 func (p *Placer) takeoverAt(now time.Time) time.Time {
 	leaseNow := clock.Now()
 	at := p.lease.TakeoverAt(leaseNow)
@@ -292,7 +296,7 @@
 	p.lease.Step(clock.Now(), lease.WriteDone{Outcome: out, Version: version})
 }
 
-// act carries out what the placement asks for.
+// act carries out the actions of the placement machine.
 func (p *Placer) act(ctx context.Context, now time.Time) {
 	r := p.place.Ready(now)
 	switch {
@@ -323,7 +327,7 @@
 	p.act(ctx, time.Now())
 }
 
-// sendOrder checks the lease once more right before it sends.
+// sendOrder sends an order, after a last check that the lease still allows it.
 func (p *Placer) sendOrder(ctx context.Context, o protocol.Order) {
 	e, ok := p.mayOrder(time.Now(), o)
 	if !ok {
@@ -342,7 +346,7 @@
 	defer p.mu.Unlock()
 	p.place.Step(time.Now(), e)
 	if poll := p.polls[e.Order.EndpointID]; poll != nil {
-		poll.at = time.Time{} // look at the effect at once
+		poll.at = time.Time{} // observe the effect at once
 	}
 }
 
@@ -369,8 +373,8 @@
 	return bundle.Endpoint{}, false
 }
 
-// pollEndpoints asks the endpoints for their state, more often while
-// something changes.
+// pollEndpoints requests the endpoints' states, more often while requests wait or
+// units change their state.
 func (p *Placer) pollEndpoints(ctx context.Context, now time.Time) {
 	every := pollRest
 	if p.place.Unsettled() {
@@ -405,7 +409,7 @@
 	p.place.Step(time.Now(), placement.Observed{State: state, Fence: fence, RequestedAt: asked})
 }
 
-// askFormer asks daemons that lost the lease whether orders are still out.
+// askFormer asks daemons that lost the lease whether their orders may still arrive.
 func (p *Placer) askFormer(ctx context.Context, now time.Time) {
 	former := slices.Clone(p.place.Former())
 	if p.unrecorded != nil {
@@ -434,8 +438,8 @@
 	}()
 }
 
-// Quiescent reports whether this daemon does not hold fence and none of its
-// orders can still arrive.
+// Quiescent reports whether this daemon does not hold the lease under fence and
+// none of its orders can still arrive.
 func (p *Placer) Quiescent(fence uint64) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/driver/placer/placer_test.go
+++ b/driver/placer/placer_test.go
@@ -15,8 +15,8 @@
 	"github.com/doorvalve/doorvalve/transport/engine"
 )
 
-// A poll that is on its way while a generation comes into force reads nothing
-// of the placer without its lock (run with the race detector).
+// Guards against a poll that reads fields of the placer without its lock while a
+// new generation is applied (run with the race detector).
 func TestPollDuringConfigure(t *testing.T) {
 	b := &bundle.Bundle{Services: []bundle.Service{{
 		Name: "g", Kind: bundle.KindEngine, Mode: bundle.ModeWatched, Endpoints: []bundle.Endpoint{{Name: "e", Address: "127.0.0.1:1"}},
