--- a/driver/placer/demand.go
+++ b/driver/placer/demand.go
@@ -18,8 +18,8 @@
 	if p.place == nil || !p.opt.Roles.Coordinates(p.opt.Group) {
 		return &peerpb.DemandResponse{}
 	}
-	p.book.Report(now, req.From, fromWire(now, req.Units))
-	p.place.Step(now, placement.DemandChanged{Units: p.book.Demand(now)})
+	p.allocator.Report(now, req.From, fromWire(now, req.Units))
+	p.place.Step(now, placement.DemandChanged{Units: p.allocator.Demand(now)})
 	p.allocate(now)
 	resp := &peerpb.DemandResponse{Coordinator: true}
 	for _, c := range p.allocated[req.From] {
@@ -46,7 +46,7 @@
 		return e
 	}
 	e.WaitMs = w.Time.Milliseconds()
-	e.ShareMillislots = int64(1000*p.slots(unit)) / int64(max(1, p.book.Users(unit)))
+	e.ShareMillislots = int64(1000*p.slots(unit)) / int64(max(1, p.allocator.Users(unit)))
 	return e
 }
 
@@ -65,10 +65,10 @@
 // intervals, so that its cost neither grows with the square of the number of
 // daemons nor exceeds a fiftieth of a core.
 func (p *Placer) allocate(now time.Time) {
-	if p.book.Len() > smallBook && now.Before(p.allocNext) {
+	if p.allocator.Len() > smallGroup && now.Before(p.allocNext) {
 		return
 	}
-	p.allocated = p.book.Allocate(now, p.place.Replicas())
+	p.allocated = p.allocator.Allocate(now, p.place.Replicas())
 	p.allocNext = now.Add(max(allocateEvery, allocateRest*time.Since(now)))
 }
 
@@ -101,7 +101,7 @@
 func (p *Placer) View() View {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	v := View{Group: p.opt.Group, Held: p.held, Until: p.lease.HeldUntil(), Reporting: p.book.Len()}
+	v := View{Group: p.opt.Group, Held: p.held, Until: p.lease.HeldUntil(), Reporting: p.allocator.Len()}
 	if p.place == nil {
 		return v
 	}
--- a/driver/placer/placer.go
+++ b/driver/placer/placer.go
@@ -38,7 +38,7 @@
 	restTick      = 250 * time.Millisecond // while this daemon has no role in the group
 	// smallGroup is the number of reporting daemons up to which every report is
 	// answered with a fresh allocation.
-	smallBook = 16
+	smallGroup = 16
 )
 
 // Roles connects a placer to the membership of the daemons. All methods must be
@@ -77,8 +77,8 @@
 
 // poll is the state of the polling of one endpoint.
 type poll struct {
-	out bool      // a poll is in progress
-	at  time.Time // start of the last poll; zero: poll at once
+	inProgress bool      // a poll is in progress
+	at         time.Time // start of the last poll; zero: poll at once
 }
 
 // Placer drives one group's coordination. It is safe for concurrent use.
@@ -86,31 +86,31 @@
 	opt Options
 	log *decisions.Log
 
-	mu      sync.Mutex
-	service bundle.Service
-	lease   *lease.Machine
-	place   *placement.Machine
-	book    *grants.Allocator
-	polls   map[string]*poll
-	policy  bundle.Policy
-	held    bool
+	mu        sync.Mutex
+	service   bundle.Service
+	lease     *lease.Machine
+	place     *placement.Machine
+	allocator *grants.Allocator
+	polls     map[string]*poll
+	policy    bundle.Policy
+	held      bool
 	// ordersFrom and unrecorded hold orders back after a restore of the platform has lost the record of
 	// the lease's holder: until the orders of the last known holder have expired, and that holder has
 	// reported that none can still arrive.
-	ordersFrom  time.Time
-	unrecorded  *placement.FormerHolder
-	releasing   bool
-	allocated   map[string][]grants.Credit
-	allocNext   time.Time // earliest next allocation, with many reports
-	refreshedAt time.Time
-	asked       time.Time // last query to former holders
-	asking      bool      // a query is in progress
+	ordersFrom    time.Time
+	unrecorded    *placement.FormerHolder
+	releasing     bool
+	allocated     map[string][]grants.Credit
+	allocNext     time.Time // earliest next allocation, with many reports
+	refreshedAt   time.Time
+	formerAskedAt time.Time // last query to former holders
+	askingFormer  bool      // a query is in progress
 }
 
 // New returns a placer for one group.
 func New(opt Options) *Placer {
 	return &Placer{
-		opt: opt, log: opt.Log.With("group", opt.Group), book: grants.NewAllocator(), polls: map[string]*poll{},
+		opt: opt, log: opt.Log.With("group", opt.Group), allocator: grants.NewAllocator(), polls: map[string]*poll{},
 		lease: lease.New(lease.Options{Self: opt.Self, Term: opt.LeaseTerm, Margin: opt.LeaseTerm / marginDivisor, FirstStart: opt.FirstStart}),
 	}
 }
@@ -226,7 +226,7 @@
 	for _, e := range p.service.Endpoints {
 		p.place.Step(now, placement.HostLeaving{Endpoint: e.Name, Leaving: p.opt.Roles.Leaving(e.Name)})
 	}
-	p.place.Step(now, placement.DemandChanged{Units: p.book.Demand(now)})
+	p.place.Step(now, placement.DemandChanged{Units: p.allocator.Demand(now)})
 }
 
 func (p *Placer) stepLease(ctx context.Context, now time.Time, candidate bool) {
@@ -382,15 +382,15 @@
 	}
 	for _, e := range p.service.Endpoints {
 		poll := p.polls[e.Name]
-		if poll.out || now.Sub(poll.at) < every {
+		if poll.inProgress || now.Sub(poll.at) < every {
 			continue
 		}
-		poll.out, poll.at = true, now
+		poll.inProgress, poll.at = true, now
 		go p.pollOne(ctx, p.service.Kind, e, p.place.ClaimedFence(e.Name), now)
 	}
 }
 
-func (p *Placer) pollOne(ctx context.Context, kind bundle.Kind, e bundle.Endpoint, fence uint64, asked time.Time) {
+func (p *Placer) pollOne(ctx context.Context, kind bundle.Kind, e bundle.Endpoint, fence uint64, requestedAt time.Time) {
 	var state protocol.EngineState
 	var err error
 	if kind == bundle.KindPlain {
@@ -400,13 +400,13 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.polls[e.Name].out = false
+	p.polls[e.Name].inProgress = false
 	if err != nil {
 		p.place.Step(time.Now(), placement.EndpointDown{Endpoint: e.Name})
 		return
 	}
 	state.Endpoint = e.Name
-	p.place.Step(time.Now(), placement.Observed{State: state, Fence: fence, RequestedAt: asked})
+	p.place.Step(time.Now(), placement.Observed{State: state, Fence: fence, RequestedAt: requestedAt})
 }
 
 // askFormer asks daemons that lost the lease whether their orders may still arrive.
@@ -415,10 +415,10 @@
 	if p.unrecorded != nil {
 		former = append(former, *p.unrecorded)
 	}
-	if len(former) == 0 || p.asking || now.Sub(p.asked) < retryAfter {
+	if len(former) == 0 || p.askingFormer || now.Sub(p.formerAskedAt) < retryAfter {
 		return
 	}
-	p.asked, p.asking = now, true
+	p.formerAskedAt, p.askingFormer = now, true
 	go func() {
 		var quiescent []uint64
 		for _, f := range former {
@@ -428,7 +428,7 @@
 		}
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		p.asking = false
+		p.askingFormer = false
 		for _, fence := range quiescent {
 			p.place.Step(time.Now(), placement.FormerQuiescent{Fence: fence})
 			if p.unrecorded != nil && p.unrecorded.Fence == fence {
--- a/driver/placer/placer_test.go
+++ b/driver/placer/placer_test.go
@@ -26,7 +26,7 @@
 	var wg sync.WaitGroup
 	for generation := uint64(2); generation < 50; generation++ {
 		p.mu.Lock()
-		p.polls["e"].out = false
+		p.polls["e"].inProgress = false
 		p.pollEndpoints(context.Background(), time.Now().Add(time.Duration(generation)*time.Hour))
 		p.mu.Unlock()
 		wg.Add(1)
