--- a/coordination/balance/balance_test.go
+++ b/coordination/balance/balance_test.go
@@ -14,7 +14,7 @@
 	return New(domain, seed, backpressure.New(backpressure.Options{LeaveWithin: 2 * time.Second}))
 }
 
-func life(id string) fleet.Incarnation { return fleet.Incarnation{ID: id} }
+func incarnation(id string) fleet.Incarnation { return fleet.Incarnation{ID: id} }
 
 func endpoints(ids ...string) []*fleet.Endpoint {
 	var list []*fleet.Endpoint
@@ -44,8 +44,8 @@
 func TestFailedEndpointIsAvoidedForAWhile(t *testing.T) {
 	b := newBalancer("x", 1)
 	list := endpoints("a", "b")
-	first := b.Failed(start, life("a"))
-	second := b.Failed(start, life("a"))
+	first := b.Failed(start, incarnation("a"))
+	second := b.Failed(start, incarnation("a"))
 	if second <= first {
 		t.Fatalf("a second failure in a row is avoided for %v, the first for %v", second, first)
 	}
@@ -55,14 +55,14 @@
 		}
 	}
 	if e := b.Pick(start, list[:1], Query{}); e == nil {
-		t.Fatal("the only endpoint must be tried all the same")
+		t.Fatal("the only endpoint was not picked after a failure")
 	}
 	seen := false
 	for range 50 {
 		seen = seen || b.Pick(start.Add(second), list, Query{}).ID == "a"
 	}
 	if !seen {
-		t.Fatal("the endpoint never came back")
+		t.Fatal("the endpoint is still avoided after the back-off")
 	}
 }
 
@@ -70,20 +70,20 @@
 	b := newBalancer("x", 1)
 	list := endpoints("a", "b")
 	list[1].Leaving = true
-	b.MarkAbsent(start, life("a"), "m")
+	b.MarkAbsent(start, incarnation("a"), "m")
 	if e := b.Pick(start, list, Query{Unit: "m"}); e != nil {
 		t.Fatalf("picked %s", e.ID)
 	}
-	b.ClearAbsent(life("a"), "m")
+	b.ClearAbsent(incarnation("a"), "m")
 	if e := b.Pick(start, list, Query{Unit: "m"}); e == nil || e.ID != "a" {
-		t.Fatal("the coordinator's word must count")
+		t.Fatal("not picked though the coordinator reports the unit as present")
 	}
-	if e := b.Pick(start, list, Query{Unit: "m", Exclude: []fleet.Incarnation{life("a")}}); e != nil {
+	if e := b.Pick(start, list, Query{Unit: "m", Exclude: []fleet.Incarnation{incarnation("a")}}); e != nil {
 		t.Fatal("an excluded endpoint was picked")
 	}
 }
 
-func TestAffinityKeepsAPromptTogetherUntilLoadSays(t *testing.T) {
+func TestAffinityKeepsPromptsTogether(t *testing.T) {
 	b := newBalancer("x", 1)
 	b.SetDaemons(6)
 	list := endpoints("a", "b", "c", "d")
@@ -100,7 +100,7 @@
 	}
 }
 
-// What was learned of an endpoint ends with its life.
+// Guards against state of one incarnation of an endpoint that is applied to the next.
 func TestNextLifeIsNotAvoided(t *testing.T) {
 	b := newBalancer("d-a", 1)
 	before := fleet.Incarnation{ID: "a", StartUnixMs: 1000}
@@ -112,63 +112,63 @@
 	list := endpoints("a")
 	list[0].StartUnixMs = 2000
 	if e := b.Pick(start, list, Query{Unit: "m"}); e == nil || b.Avoided(start, e.Incarnation()) {
-		t.Fatal("the next life pays for the one before")
+		t.Fatal("the next incarnation is avoided for failures of the one before")
 	}
 	b.Ended(start, old, "m", time.Second, true)
 	if b.RecentlyServed(start, list[0].Incarnation(), "m") {
-		t.Fatal("a success of the life before vouches for the next one")
+		t.Fatal("a success of the incarnation before counts for the next one")
 	}
 }
 
-// Holders are crowded where each has more than three of four slots taken, by what all
-// daemons were told to have running and what this one has sent since.
-func TestCrowdedHolders(t *testing.T) {
+// Holders of a model are near capacity if each has at least three quarters of its slots
+// taken, by the reported requests of all daemons and those that this daemon has sent since.
+func TestNearCapacity(t *testing.T) {
 	b := newBalancer("x", 1)
 	list := endpoints("a", "b")
 	for _, e := range list {
 		e.Service, e.Slots = "llm", 12
 	}
 	if b.NearCapacity(start, list, Query{}) {
-		t.Fatal("crowded though nothing was told")
+		t.Fatal("near capacity without a report")
 	}
-	b.ReceiveRunning("llm", start, Running{life("a"): 12, life("b"): 8}, Running{})
+	b.ReceiveRunning("llm", start, Running{incarnation("a"): 12, incarnation("b"): 8}, Running{})
 	if b.NearCapacity(start, list, Query{}) {
 		t.Fatal("one of them has slots free")
 	}
 	b.Started(list[1])
 	if !b.NearCapacity(start, list, Query{}) {
-		t.Fatal("both are crowded with the request that was sent since")
+		t.Fatal("not near capacity with the request that was sent since the report")
 	}
-	if b.NearCapacity(start.Add(toldLife), list, Query{}) {
-		t.Fatal("crowded by a word that is too old")
+	if b.NearCapacity(start.Add(reportTTL), list, Query{}) {
+		t.Fatal("near capacity by a report that is too old")
 	}
-	b.Failed(start, life("b"))
+	b.Failed(start, incarnation("b"))
 	if !b.NearCapacity(start, list, Query{}) {
-		t.Fatal("the one that has failed is left out")
+		t.Fatal("not near capacity though the endpoint that has failed does not count")
 	}
 }
 
-// An endpoint at which nothing listens is not picked, also where there is no other: its
-// requests are told at once what else there is. One request finds out when it is back.
+// An endpoint at which nothing listens is not picked, even if there is no other, so that its
+// requests are served elsewhere or refused at once. After the back-off it is tried again.
 func TestEndedEndpointIsNotPicked(t *testing.T) {
 	b := newBalancer("x", 1)
 	list := endpoints("a")
-	for range 5 { // of one end, as many requests notice
-		b.MarkUnreachable(start, life("a"))
+	for range 5 { // several requests notice the same failure
+		b.MarkUnreachable(start, incarnation("a"))
 	}
-	if e := b.Pick(start.Add(goneFirst-time.Millisecond), list, Query{}); e != nil || !b.Unreachable(start, life("a")) {
+	if e := b.Pick(start.Add(unreachableFirst-time.Millisecond), list, Query{}); e != nil || !b.Unreachable(start, incarnation("a")) {
 		t.Fatalf("picked %v", e)
 	}
-	if e := b.Pick(start.Add(goneFirst), list, Query{}); e == nil {
-		t.Fatal("it is never asked again")
+	if e := b.Pick(start.Add(unreachableFirst), list, Query{}); e == nil {
+		t.Fatal("not picked after the back-off")
 	}
-	again := start.Add(goneFirst)
-	b.MarkUnreachable(again, life("a"))
-	if e := b.Pick(again.Add(2*goneFirst-time.Millisecond), list, Query{}); e != nil {
-		t.Fatal("the second refusal counts as little as the first")
+	again := start.Add(unreachableFirst)
+	b.MarkUnreachable(again, incarnation("a"))
+	if e := b.Pick(again.Add(2*unreachableFirst-time.Millisecond), list, Query{}); e != nil {
+		t.Fatal("the back-off did not grow with the second refusal")
 	}
 	b.Ended(again, list[0], "", time.Millisecond, true)
 	if e := b.Pick(again, list, Query{}); e == nil {
-		t.Fatal("it has answered, and is not picked")
+		t.Fatal("not picked though it has answered")
 	}
 }
--- a/coordination/balance/fleet_test.go
+++ b/coordination/balance/fleet_test.go
@@ -10,27 +10,27 @@
 	"github.com/doorvalve/doorvalve/state/fleet"
 )
 
-// site is many daemons before many engines in virtual time: each daemon sees a small part
-// of the requests and is told of the others some hundred milliseconds late. The pattern is
-// that of hundreds of hosts, where a daemon has two or three requests running at a time.
+// site simulates many daemons and many engines in virtual time: each daemon handles a small
+// share of the requests and receives the counts of the others some hundred milliseconds late.
+// The load is that of hundreds of hosts, where a daemon has two or three requests running.
 type site struct {
-	daemons  []*Balancer
-	engines  []*fleet.Endpoint
-	holders  [][]*fleet.Endpoint // of each model
-	prompts  int                 // shared parts of prompts, of each model
-	rate     float64             // requests a second
-	runTime  time.Duration
-	tell     time.Duration // between two words of a daemon; zero: there is no coordinator
-	now      time.Time
-	running  Running
-	said     []Running // of each daemon, as it told last
-	ends     []running
-	arrivals Running
-	started  int
-	crowded  int // requests that queued while another holder had a place free
+	daemons          []*Balancer
+	engines          []*fleet.Endpoint
+	holders          [][]*fleet.Endpoint // of each model
+	prompts          int                 // number of shared parts of prompts, of each model
+	rate             float64             // requests a second
+	runTime          time.Duration
+	reportInterval   time.Duration // between two reports of a daemon; zero: there is no coordinator
+	now              time.Time
+	running          Running
+	reported         []Running // last report of each daemon
+	active           []activeRequest
+	arrivals         Running
+	started          int
+	queuedBesideFree int // requests that queued while another holder had a free slot
 }
 
-type running struct {
+type activeRequest struct {
 	daemon   int
 	endpoint *fleet.Endpoint
 	began    time.Time
@@ -42,7 +42,7 @@
 	for i := range daemons {
 		b := newBalancer(fmt.Sprint("d", i%5), uint64(i))
 		b.SetDaemons(daemons)
-		s.daemons, s.said = append(s.daemons, b), append(s.said, Running{})
+		s.daemons, s.reported = append(s.daemons, b), append(s.reported, Running{})
 	}
 	for i := range engines {
 		s.engines = append(s.engines, &fleet.Endpoint{ID: fmt.Sprint("e", i), Service: "llm", FailureDomain: fmt.Sprint("d", i%5), Slots: slots})
@@ -57,13 +57,13 @@
 	return s
 }
 
-// run plays the site for a time, in steps of 5 ms.
+// run simulates the site for a time, in steps of 5 ms.
 func (s *site) run(rng *rand.Rand, d time.Duration) {
 	const step = 5 * time.Millisecond
 	due := 0.0
 	for end := s.now.Add(d); s.now.Before(end); s.now = s.now.Add(step) {
 		s.finish()
-		s.tellAll(step)
+		s.reportAll(step)
 		for due += s.rate * step.Seconds() * rng.ExpFloat64(); due >= 1; due-- {
 			s.request(rng)
 		}
@@ -71,8 +71,8 @@
 }
 
 func (s *site) finish() {
-	kept := s.ends[:0]
-	for _, r := range s.ends {
+	kept := s.active[:0]
+	for _, r := range s.active {
 		if r.end.After(s.now) {
 			kept = append(kept, r)
 			continue
@@ -80,19 +80,20 @@
 		s.running[r.endpoint.Incarnation()]--
 		s.daemons[r.daemon].Ended(s.now, r.endpoint, "m", r.end.Sub(r.began), true)
 	}
-	s.ends = kept
+	s.active = kept
 }
 
-// tellAll lets each daemon tell in its turn, and be told what all have told so far.
-func (s *site) tellAll(step time.Duration) {
-	if s.tell == 0 {
+// reportAll lets each daemon in its turn report its running requests and receive the sum of
+// all reports so far.
+func (s *site) reportAll(step time.Duration) {
+	if s.reportInterval == 0 {
 		return
 	}
-	turns := int(s.tell / step)
+	turns := int(s.reportInterval / step)
 	now := int(s.now.Sub(start)/step) % turns
 	all := Running{}
-	for _, said := range s.said {
-		for id, n := range said {
+	for _, report := range s.reported {
+		for id, n := range report {
 			all[id] += n
 		}
 	}
@@ -105,15 +106,15 @@
 		}
 		own := b.OwnRunning()
 		for id, n := range own {
-			all[id] += n - s.said[i][id]
+			all[id] += n - s.reported[i][id]
 		}
-		for id, n := range s.said[i] {
+		for id, n := range s.reported[i] {
 			if own[id] == 0 {
 				all[id] -= n
 			}
 		}
-		s.said[i] = own
-		b.ReceiveRunning("llm", s.now.Add(-s.tell/2), all, own)
+		s.reported[i] = own
+		b.ReceiveRunning("llm", s.now.Add(-s.reportInterval/2), all, own)
 	}
 }
 
@@ -129,22 +130,22 @@
 	if s.running[id] >= e.Slots {
 		for _, other := range s.holders[m] {
 			if s.running[other.Incarnation()] < other.Slots {
-				s.crowded++
+				s.queuedBesideFree++
 				break
 			}
 		}
 	}
 	s.running[id]++
 	s.daemons[daemon].Started(e)
-	s.ends = append(s.ends, running{daemon, e, s.now, s.now.Add(time.Duration(float64(s.runTime) * (0.5 + rng.Float64())))})
+	s.active = append(s.active, activeRequest{daemon, e, s.now, s.now.Add(time.Duration(float64(s.runTime) * (0.5 + rng.Float64())))})
 }
 
-// crowding returns the part of the requests that queued while another holder of their
-// model had a place free.
-func (s *site) crowding() float64 { return float64(s.crowded) / float64(s.started) }
+// queuedShare returns the share of the requests that queued while another holder of their
+// model had a free slot.
+func (s *site) queuedShare() float64 { return float64(s.queuedBesideFree) / float64(s.started) }
 
-// worst returns how many requests the busiest engine got, against the holder of the same
-// model that got fewest.
+// worst returns the highest ratio, over all models, of the requests at the busiest holder of
+// a model to those at its least busy one.
 func (s *site) worst() float64 {
 	worst := 0.0
 	for _, list := range s.holders {
@@ -158,18 +159,18 @@
 	return worst
 }
 
-// Hundreds of daemons spread the requests of each model over its holders, at three of
-// five slots taken. Where each daemon went by its own requests alone, with a prompt's
-// affinity as two of them, one holder got 5.7 times the requests of another (20 times
-// with 375 daemons), and 0.14 of the requests queued beside a free place; where each took
-// the emptiest by what it was told, 4.7 times with 375 daemons, and 0.31.
+// Hundreds of daemons spread the requests of each model over its holders, with three of five
+// slots taken. Guards against two simpler ways to pick. By a daemon's own requests alone, with
+// affinity worth two of them, one holder got 5.7 times the requests of another (20 times with
+// 375 daemons), and 0.14 of the requests queued while another holder had a free slot. By the
+// emptiest endpoint in the reports, it was 4.7 times with 375 daemons, and 0.31.
 func TestManyDaemonsShareOutTheHolders(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	for _, c := range []struct {
-		name                           string
-		daemons, engines, slots, tell  int
-		models, holders                int
-		rate, mostCrowded, mostUnequal float64
+		name                              string
+		daemons, engines, slots, reportMs int
+		models, holders                   int
+		rate, maxCrowded, maxUnequal      float64
 	}{
 		{"195 daemons, 120 engines of 12", 195, 120, 12, 650, 40, 3, 450, 0.06, 1.6},
 		{"375 daemons, 600 engines of 12", 375, 600, 12, 1250, 100, 6, 2250, 0.12, 2.0},
@@ -178,19 +179,19 @@
 		{"195 daemons without a coordinator", 195, 120, 12, 0, 40, 3, 450, 0.07, 2.2},
 	} {
 		s := newSite(c.daemons, c.engines, c.slots, c.models, c.holders)
-		s.rate, s.tell = c.rate, time.Duration(c.tell)*time.Millisecond
+		s.rate, s.reportInterval = c.rate, time.Duration(c.reportMs)*time.Millisecond
 		s.run(rng, 10*time.Second)
-		t.Logf("%s: %.3f crowded, %.2f unequal, %d requests", c.name, s.crowding(), s.worst(), s.started)
-		if s.crowding() > c.mostCrowded {
-			t.Errorf("%s: %.3f of the requests queued while another holder had a place, want at most %.3f", c.name, s.crowding(), c.mostCrowded)
+		t.Logf("%s: %.3f crowded, %.2f unequal, %d requests", c.name, s.queuedShare(), s.worst(), s.started)
+		if s.queuedShare() > c.maxCrowded {
+			t.Errorf("%s: %.3f of the requests queued while another holder had a free slot, want at most %.3f", c.name, s.queuedShare(), c.maxCrowded)
 		}
-		if s.worst() > c.mostUnequal {
-			t.Errorf("%s: one holder got %.2f times the requests of another, want at most %.2f", c.name, s.worst(), c.mostUnequal)
+		if s.worst() > c.maxUnequal {
+			t.Errorf("%s: one holder got %.2f times the requests of another, want at most %.2f", c.name, s.worst(), c.maxUnequal)
 		}
 	}
 }
 
-// runningSite returns a site of one daemon, and what runs at its engines.
+// runningSite returns a site of one daemon, and the running requests at its engines.
 func runningSite(engines int) (*site, Running) {
 	s, all := newSite(1, engines, 12, 1, 6), Running{}
 	for i, e := range s.engines {
@@ -199,7 +200,7 @@
 	return s, all
 }
 
-// The choice of a holder, with counts of all daemons at hand.
+// The choice of a holder, with a recent report of all daemons' requests.
 func BenchmarkPick(b *testing.B) {
 	for _, engines := range []int{9, 124, 600} {
 		b.Run(fmt.Sprint(engines, " engines"), func(b *testing.B) {
@@ -214,8 +215,8 @@
 	}
 }
 
-// Taking a coordinator's word on all engines.
-func BenchmarkTold(b *testing.B) {
+// Applying a coordinator's report on all engines.
+func BenchmarkReceiveRunning(b *testing.B) {
 	for _, engines := range []int{9, 124, 600} {
 		b.Run(fmt.Sprint(engines, " engines"), func(b *testing.B) {
 			s, all := runningSite(engines)
--- a/coordination/grants/grants.go
+++ b/coordination/grants/grants.go
@@ -1,5 +1,5 @@
 // Package grants shares the slots of a group's endpoints among daemons in
-// order of worth. Each daemon reports what waits and what runs there; the
+// order of worth. Each daemon reports its waiting and running requests. The
 // group's coordinator answers with credits, the number of requests that the
 // daemon may keep at an endpoint. The package does no I/O.
 package grants
@@ -25,8 +25,8 @@
 	Waiting  []Waiting
 	InFlight int
 	Arrivals int // since its last report
-	// Shut counts the calls that were refused since then because all endpoints with credit take
-	// none now, by their own word; ShutWorth is that of the last one.
+	// Unavailable counts the requests refused since its last report because every endpoint with
+	// credit had reported that it takes none now. UnavailableWorth is the worth of the last one.
 	Unavailable      int
 	UnavailableWorth int64
 }
@@ -38,12 +38,12 @@
 	Limit    int
 }
 
-// ReportLife is how long a report counts. A daemon that has demand reports
+// ReportTTL is how long a report counts. A daemon that has demand reports
 // several times within it.
 const ReportTTL = 2 * time.Second
 
-// MaxWaitingPerItem bounds what one report can ask for, so that one daemon's
-// count cannot make the allocation slow.
+// MaxWaitingPerItem bounds the requests that one Waiting item counts for, so
+// that one daemon's count cannot make the allocation slow.
 const MaxWaitingPerItem = 1024
 
 type report struct {
@@ -51,38 +51,40 @@
 	units []UnitReport
 }
 
-// Book keeps the daemons' last reports.
+// Allocator holds the daemons' last reports and allocates credits by them. It is
+// not safe for concurrent use.
 type Allocator struct {
 	reports  map[string]report
 	arrivals map[string]int
 }
 
-// NewBook returns an empty book.
+// NewAllocator returns an allocator without reports.
 func NewAllocator() *Allocator {
 	return &Allocator{reports: map[string]report{}, arrivals: map[string]int{}}
 }
 
-// Report records what a daemon said at now.
-func (b *Allocator) Report(now time.Time, daemon string, units []UnitReport) {
-	b.reports[daemon] = report{at: now, units: units}
+// Report records a daemon's report at now, which replaces its previous one.
+func (al *Allocator) Report(now time.Time, daemon string, units []UnitReport) {
+	al.reports[daemon] = report{at: now, units: units}
 	for _, u := range units {
-		b.arrivals[u.Unit] += u.Arrivals
+		al.arrivals[u.Unit] += u.Arrivals
 	}
 }
 
-func (b *Allocator) expire(now time.Time) {
-	for daemon, r := range b.reports {
+func (al *Allocator) expire(now time.Time) {
+	for daemon, r := range al.reports {
 		if now.Sub(r.at) > ReportTTL {
-			delete(b.reports, daemon)
+			delete(al.reports, daemon)
 		}
 	}
 }
 
-// Demand adds up all reports; arrivals count once.
-func (b *Allocator) Demand(now time.Time) map[string]placement.Demand {
-	b.expire(now)
+// Demand adds up the current reports by unit. Each arrival is returned by one
+// call only.
+func (al *Allocator) Demand(now time.Time) map[string]placement.Demand {
+	al.expire(now)
 	total := map[string]placement.Demand{}
-	for _, r := range b.reports {
+	for _, r := range al.reports {
 		for _, u := range r.units {
 			d := total[u.Unit]
 			d.InFlight += u.InFlight
@@ -97,16 +99,16 @@
 			total[u.Unit] = d
 		}
 	}
-	for unit, n := range b.arrivals {
+	for unit, n := range al.arrivals {
 		d := total[unit]
 		d.Arrivals = n
 		total[unit] = d
 	}
-	clear(b.arrivals)
+	clear(al.arrivals)
 	return total
 }
 
-// item is one entry of the allocation, in the order in which slots go out.
+// item is one entry of the allocation. Slots are given out in the order of items.
 type item struct {
 	daemon   string
 	unit     string
@@ -119,21 +121,22 @@
 // Allocate returns each daemon's credits.
 //
 // Invariant: the credits for an endpoint never add up to more than its slots.
-// Running requests keep their slots; waiting ones get slots by worth, then by
-// deadline; what is left is shared among the daemons that use the unit.
-func (b *Allocator) Allocate(now time.Time, replicas []placement.Replica) map[string][]Credit {
-	b.expire(now)
+// Running requests keep their slots; waiting requests get slots by worth, then
+// by deadline; the remaining slots are shared among the daemons that use the
+// endpoint's units.
+func (al *Allocator) Allocate(now time.Time, replicas []placement.Replica) map[string][]Credit {
+	al.expire(now)
 	a := newAllocation(replicas)
-	for _, it := range b.items() {
+	for _, it := range al.items() {
 		a.give(it)
 	}
-	a.shareRest(b)
+	a.shareRest(al)
 	return a.credits()
 }
 
-func (b *Allocator) items() []item {
+func (al *Allocator) items() []item {
 	var items []item
-	for daemon, r := range b.reports {
+	for daemon, r := range al.reports {
 		for _, u := range r.units {
 			if u.InFlight > 0 {
 				items = append(items, item{daemon: daemon, unit: u.Unit, running: true, count: u.InFlight})
@@ -159,25 +162,25 @@
 type creditKey struct{ daemon, unit, endpoint string }
 
 type allocation struct {
-	left  map[string]int      // slots left by endpoint
-	at    map[string][]string // endpoints by unit
-	given map[creditKey]int
+	left      map[string]int      // slots left by endpoint
+	endpoints map[string][]string // endpoints by unit
+	given     map[creditKey]int
 }
 
 func newAllocation(replicas []placement.Replica) *allocation {
-	a := &allocation{left: map[string]int{}, at: map[string][]string{}, given: map[creditKey]int{}}
+	a := &allocation{left: map[string]int{}, endpoints: map[string][]string{}, given: map[creditKey]int{}}
 	for _, r := range replicas {
 		a.left[r.Endpoint.Name] = r.Endpoint.Slots
-		a.at[r.Unit] = append(a.at[r.Unit], r.Endpoint.Name)
+		a.endpoints[r.Unit] = append(a.endpoints[r.Unit], r.Endpoint.Name)
 	}
 	return a
 }
 
-// give hands out slots for one item, each from the endpoint with most left.
+// give allocates slots for one item, each at the endpoint with the most left.
 func (a *allocation) give(it item) {
 	for range it.count {
 		best := ""
-		for _, e := range a.at[it.unit] {
+		for _, e := range a.endpoints[it.unit] {
 			if a.left[e] > 0 && (best == "" || a.left[e] > a.left[best]) {
 				best = e
 			}
@@ -190,13 +193,13 @@
 	}
 }
 
-// shareRest gives standing credits: the slots left at an endpoint in equal
-// parts to the daemons that reported one of its units.
-func (a *allocation) shareRest(b *Allocator) {
+// shareRest gives credits ahead of demand: it divides the remaining slots of an
+// endpoint equally among the daemons that reported one of its units.
+func (a *allocation) shareRest(al *Allocator) {
 	users := map[string][]creditKey{}
-	for daemon, r := range b.reports {
+	for daemon, r := range al.reports {
 		for _, u := range r.units {
-			for _, e := range a.at[u.Unit] {
+			for _, e := range a.endpoints[u.Unit] {
 				users[e] = append(users[e], creditKey{daemon, u.Unit, e})
 			}
 		}
@@ -225,10 +228,10 @@
 	return byDaemon
 }
 
-// Users returns the number of daemons that have lately reported a unit.
-func (b *Allocator) Users(unit string) int {
+// Users returns the number of daemons that have recently reported a unit.
+func (al *Allocator) Users(unit string) int {
 	n := 0
-	for _, r := range b.reports {
+	for _, r := range al.reports {
 		for _, u := range r.units {
 			if u.Unit == unit {
 				n++
@@ -238,5 +241,5 @@
 	return n
 }
 
-// Len returns the number of daemons that have reported lately.
-func (b *Allocator) Len() int { return len(b.reports) }
+// Len returns the number of daemons that have reported recently.
+func (al *Allocator) Len() int { return len(al.reports) }
