--- a/coordination/lease/lease.go
+++ b/coordination/lease/lease.go
@@ -1,6 +1,7 @@
-// Package lease decides when a daemon holds a lease that is kept as one
-// object and moved by conditional updates. It is a state machine without
-// I/O: feed it events with Step, carry out what Ready returns.
+// Package lease decides when a daemon holds a lease that is stored as one
+// object and changed by conditional writes. Machine is a state machine without
+// I/O: callers pass events and the time to Step, and carry out the action that
+// Ready returns.
 package lease
 
 import (
@@ -12,27 +13,27 @@
 	"github.com/doorvalve/doorvalve/state/storeversion"
 )
 
-// Record is the object that the lease is kept in.
+// Record is the stored object of a lease.
 //
-// It grants the lease only in the generation of the store in which it was written. Read in a later
-// one it is of the copy that the store came back from, or of a write that was carried out late on a
-// condition that had lost its meaning.
+// A record grants the lease only in the generation of the store in which it was written. A record
+// of an earlier generation comes from the copy that the store was restored from, or from a write
+// that was applied late: its expected revision then matched other content of the restored store.
 type Record struct {
 	Holder     string        `json:"holder"` // empty after a release
-	Fence      uint64        `json:"fence"`  // rises with each new holder
+	Fence      uint64        `json:"fence"`  // increases with each new holder
 	Term       time.Duration `json:"term_ns"`
 	Renewals   uint64        `json:"renewals"`
-	WriteID    string        `json:"write_id"`             // tells a lost answer's write from others
-	Generation uint64        `json:"generation,omitempty"` // of the store, of the version that was replaced
+	WriteID    string        `json:"write_id"`             // identifies a write whose response was lost
+	Generation uint64        `json:"generation,omitempty"` // of the store, taken from the version that this record replaced
 }
 
-// ErrNotFound says that the platform answered and has no such object.
+// ErrNotFound is returned when the platform answered and has no such object.
 var ErrNotFound = errors.New("no such object")
 
 // Event is an input of the machine.
 type Event interface{ leaseEvent() }
 
-// Tick passes time on.
+// Tick only passes the time.
 type Tick struct{}
 
 // ReadDone reports a read of the object.
@@ -40,23 +41,23 @@
 	Err     bool
 	Found   bool
 	Record  Record
-	Version storeversion.Version // without a revision, where there is no object
+	Version storeversion.Version // without a revision if there is no object
 }
 
-// WriteDone reports the write that Ready asked for last.
+// WriteDone reports the result of the last write that Ready requested.
 type WriteDone struct {
 	Outcome protocol.WriteOutcome
-	Version storeversion.Version // after WriteOK
+	Version storeversion.Version // of the written object after WriteOK; otherwise only its generation is used
 }
 
-// Release gives the lease up, for a planned stop.
+// Release gives up the lease for a planned stop.
 type Release struct{}
 
-// Candidate says whether this daemon should try to take the lease.
+// Candidate sets whether this daemon should try to take the lease.
 type Candidate struct{ Yes bool }
 
-// Heard tells what others know: the highest generation of the store, and the highest fence that
-// was given out.
+// PeerState holds the highest generation of the store and the highest issued fence that this daemon
+// has learned of, also from other daemons.
 type PeerState struct {
 	Generation uint64
 	Fence      uint64
@@ -69,13 +70,13 @@
 func (Candidate) leaseEvent() {}
 func (PeerState) leaseEvent() {}
 
-// Write is a conditional update of the object.
+// Write is a conditional write of the object.
 type Write struct {
 	Record          Record
 	ExpectedVersion storeversion.Version // absent: the object must not exist
 }
 
-// Ready is what the caller has to do now. At most one of the fields is set.
+// Ready is the action that the caller must carry out now. At most one of the fields is set.
 type Ready struct {
 	Read  bool
 	Write *Write
@@ -85,14 +86,14 @@
 type Options struct {
 	Self string
 	Term time.Duration
-	// Margin is the part of the term by which a holder stops early.
+	// Margin is how long before the end of the term a holder stops to rely on the lease.
 	Margin time.Duration
-	// FirstStart says that the whole system starts for the first time: where there is no record,
-	// nobody has held the lease. Otherwise a restored store may have lost it.
+	// FirstStart is set when the whole system starts for the first time: if there is no record,
+	// the lease has never been held. Otherwise a restored store may have lost the record.
 	FirstStart bool
 }
 
-// Machine is the lease as one daemon sees it.
+// Machine is one daemon's view of the lease. It is not safe for concurrent use.
 type Machine struct {
 	opt       Options
 	candidate bool
@@ -101,38 +102,39 @@
 	seen       Record               // last record read
 	found      bool                 // the object exists
 	version    storeversion.Version // of seen
-	firstSeen  time.Time            // when version was first seen by this daemon
+	firstSeen  time.Time            // when this daemon first read or wrote version
 	haveRead   bool
-	readFailed bool // the last read had no answer
+	readFailed bool // the last read failed, or its answer was of an earlier generation
 
-	generation      uint64 // of the store, the highest heard of
-	firstGeneration uint64 // heard of first, 0 where the store named none
+	generation      uint64 // highest known generation of the store
+	firstGeneration uint64 // first known generation, 0 if the store reported none
 	everRead        bool
-	highest         uint64 // fence that was given out, as far as is known
+	highest         uint64 // highest known fence
 
-	busy    bool      // a read or a write is out
+	busy    bool      // a read or a write is in flight
 	pending *Record   // write without a known result
 	sentAt  time.Time // when pending was sent
 	nextAt  time.Time // next read or renewal
 
-	own    Record    // by which the lease is held, or was last
-	until  time.Time // held until then by this daemon's own clock
-	first  bool      // nobody has held the lease before own
-	former bool      // the record says who has
+	own    Record    // record under which this daemon holds the lease, or held it last
+	until  time.Time // end of the hold by this daemon's own clock
+	first  bool      // nobody held the lease before own
+	former bool      // the record that own replaced names the former holder
 	writes uint64
 }
 
-// New returns a machine that holds nothing.
+// New returns a machine that does not hold the lease.
 func New(opt Options) *Machine { return &Machine{opt: opt} }
 
-// Holds returns the fencing number while the lease is held at now.
+// Holds returns the fence of the lease and whether this daemon holds it at now.
 //
-// Invariant: until is counted from before the write that took or renewed the
-// lease was sent, less the margin; every taker waits a whole term from its own
-// first sight of that write. So two daemons whose clocks run at the same rate
-// never both hold. Where the store has lost the write, takers wait a whole term
-// from their first sight of the generation that has: only who holds by its own
-// clock writes the lease again before.
+// Invariant: the end of a hold is the time at which the write that took or
+// renewed the lease was sent, plus the term, less the margin; every other daemon
+// waits a whole term after it first reads that write. So two daemons whose clocks
+// run at the same rate never hold the lease at the same time. If a restored store
+// has lost the write, other daemons wait a whole term after they first read the
+// new generation: before that, only a daemon that holds the lease by its own
+// clock writes the lease again.
 func (m *Machine) Holds(now time.Time) (fence uint64, ok bool) {
 	if m.until.IsZero() || !now.Before(m.until) {
 		return 0, false
@@ -141,13 +143,13 @@
 }
 
 // TakeoverAt returns when this daemon expects to hold a lease that it does not
-// hold yet, if nothing more is heard of another holder; zero when that is not
-// known, as while the platform does not answer.
+// hold yet, provided that no other holder renews it; zero if that is unknown,
+// for example while the platform does not answer.
 func (m *Machine) TakeoverAt(now time.Time) time.Time {
 	if !m.candidate || m.readFailed {
 		return time.Time{}
 	}
-	soon := now.Add(m.opt.Term / 8) // a read or a write is on its way
+	soon := now.Add(m.opt.Term / 8) // the next read or write is due or in flight
 	if !m.haveRead || m.pending != nil || m.free() {
 		return soon
 	}
@@ -157,13 +159,13 @@
 	return soon
 }
 
-// FormerUnknown reports whether somebody may have held the lease before the present hold whom no
-// record names, since the store came back from a copy.
+// FormerUnknown reports whether a daemon that no record names may have held the lease before the
+// current hold, because the store was restored from a copy.
 func (m *Machine) FormerUnknown() bool { return !m.first && !m.former }
 
-// FormerHolder returns who held the lease last, as the record read last says; empty where it has been
-// released, or where what was read is of before the store came back from a copy: others may have
-// held it since.
+// FormerHolder returns the holder that the last known record names. It is empty if the lease was
+// released, or if the record is older than a restore of the store: other daemons may have held the
+// lease since.
 func (m *Machine) FormerHolder() string {
 	if !m.granted() {
 		return ""
@@ -171,19 +173,19 @@
 	return m.seen.Holder
 }
 
-// First reports whether nobody has held the lease before the present hold.
+// FirstHold reports whether nobody held the lease before the current hold.
 func (m *Machine) FirstHold() bool { return m.first }
 
-// Until returns the end of the current hold; zero when none.
+// HeldUntil returns the end of the current hold; zero if there is none.
 func (m *Machine) HeldUntil() time.Time { return m.until }
 
-// Fence returns that of the present hold, or of the last one; zero before the first.
+// Fence returns the fence of the current hold, or of the last one; zero before the first.
 func (m *Machine) Fence() uint64 { return m.own.Fence }
 
-// Seen returns the last record known.
+// LastRecord returns the last known record.
 func (m *Machine) LastRecord() Record { return m.seen }
 
-// Step takes one event at a time that never runs backwards.
+// Step passes one event to the machine; now must never decrease.
 func (m *Machine) Step(now time.Time, e Event) {
 	switch e := e.(type) {
 	case Candidate:
@@ -209,8 +211,8 @@
 	}
 }
 
-// current reports whether what was read last is of the store's present generation, as far as is
-// known. It is no condition for a write otherwise.
+// current reports whether the last read is of the highest known generation of the store. Otherwise
+// its version can't be the condition of a write.
 func (m *Machine) current() bool { return m.haveRead && m.version.Generation == m.generation }
 
 func (m *Machine) hearGeneration(g uint64) {
@@ -238,13 +240,13 @@
 	p := m.pending
 	m.pending = nil
 	if p != nil && m.granted() && m.seen.WriteID == p.WriteID {
-		// The lost answer's write took effect.
+		// The write took effect; only its response was lost.
 		m.adopt(*p)
 		return
 	}
-	// A pending write that is not the current content can still take effect
-	// late. It is conditional, so it then costs the next write a conflict
-	// and nothing else.
+	// A pending write that is not the current content can still be applied
+	// late. It is conditional, so all that this can cause is a conflict of
+	// the next write.
 	if m.lost() {
 		m.until = time.Time{}
 	}
@@ -253,11 +255,12 @@
 	}
 }
 
-// granted reports whether the record read last grants what it says.
+// granted reports whether the last known record grants the lease to the holder that it names: the
+// record was written in the generation in which it was read.
 func (m *Machine) granted() bool { return m.found && m.seen.Generation == m.version.Generation }
 
-// lost reports whether what was read last says that somebody else may hold the lease. A record that
-// grants nothing does not, nor does one that is missing from a later generation of the store.
+// lost reports whether the last read shows that another daemon may hold the lease. A record that
+// grants nothing doesn't show this, nor does a record missing from a later generation of the store.
 func (m *Machine) lost() bool {
 	if !m.found {
 		return m.version.Generation == m.own.Generation
@@ -271,7 +274,7 @@
 	switch e.Outcome {
 	case protocol.WriteOK:
 		if e.Version.Generation != m.pending.Generation {
-			// The condition was met by another content of the same revision.
+			// Other content of the same revision, in another generation, met the condition.
 			m.pending = nil
 			m.readAgain(now)
 			return
@@ -280,7 +283,7 @@
 		m.firstSeen = now
 		m.adopt(*m.pending)
 	case protocol.WriteConflict:
-		// Whoever has written waits for the end of this hold, if it is not over.
+		// Another daemon takes the lease only after this hold is over, so until stays as it is.
 		m.pending = nil
 		m.readAgain(now)
 	case protocol.WriteUnknown:
@@ -293,7 +296,7 @@
 	m.nextAt = now
 }
 
-// adopt makes a write that took effect the current record.
+// adopt makes the record of a write that took effect the current one.
 func (m *Machine) adopt(r Record) {
 	m.pending = nil
 	m.seen, m.own = r, r
@@ -335,8 +338,8 @@
 	return Ready{Read: true}
 }
 
-// mayTake reports whether the lease may be taken: it is free, or what was read is unchanged for a
-// whole term since this daemon first saw it.
+// mayTake reports whether this daemon may take the lease: it is free, or the record has not changed
+// for a whole term since this daemon first read it.
 func (m *Machine) mayTake(now time.Time) bool {
 	if !m.current() || !m.candidate || m.releasing || m.pending != nil {
 		return false
@@ -349,12 +352,12 @@
 	if !m.found {
 		return m.neverHeld()
 	}
-	// Self names this process alone, so its own record is free to it.
+	// Self identifies this process, so nobody else holds the lease under its own record.
 	return m.granted() && (m.seen.Holder == "" || m.seen.Holder == m.opt.Self)
 }
 
-// neverHeld reports whether nobody has ever held the lease. A store that has come back from a copy
-// may have lost the record.
+// neverHeld reports whether the lease has certainly never been held. A missing record alone doesn't
+// show this: a store that was restored from a copy may have lost it.
 func (m *Machine) neverHeld() bool {
 	if m.found || m.highest > 0 {
 		return false
@@ -363,15 +366,16 @@
 }
 
 const (
-	// fenceBits is the part of a fence that counts the holders within a generation of the store.
+	// fenceBits is the number of low bits of a fence that count the holders within a generation of
+	// the store.
 	fenceBits = 20
-	// maxFenceGeneration keeps fences below 2^40, which leaves room for those who number what they
-	// do under one. Beyond it, fences rise by what is known of those given out.
+	// maxFenceGeneration keeps fences below 2^40, which leaves bits for holders that number their
+	// actions under a fence. In later generations, a new fence only exceeds the highest known fence.
 	maxFenceGeneration = 1<<20 - 1
 )
 
-// nextFence returns a fence above all that were given out. What a restored store has lost of them
-// may be known to nobody, so each generation begins above all of the one before.
+// nextFence returns a fence above all issued fences. A restored store may have lost fences that no
+// daemon knows, so the fences of each generation start above all those of the generation before.
 func (m *Machine) nextFence() uint64 {
 	return max(m.highest, min(m.version.Generation, maxFenceGeneration)<<fenceBits) + 1
 }
--- a/coordination/lease/lease_test.go
+++ b/coordination/lease/lease_test.go
@@ -12,7 +12,7 @@
 
 const term = 6 * time.Second
 
-// store is the platform's object with conditional updates.
+// store is the platform's object with conditional writes.
 type store struct {
 	rec     Record
 	version storeversion.Version
@@ -27,7 +27,7 @@
 	return true
 }
 
-// daemon is one machine with what it has asked for.
+// daemon is a machine with its outstanding action.
 type daemon struct {
 	m        *Machine
 	out      Ready
@@ -35,14 +35,14 @@
 	frozenTo time.Time
 }
 
-// holds is the newest hold that was seen, by any daemon.
+// holds is the newest hold observed so far, by any daemon.
 type holds struct {
 	fence  uint64
 	holder string
 }
 
-// check asks that one daemon holds at the most, that no fence is given out twice or falls, and that
-// nobody takes itself for the first holder after another.
+// check verifies that at most one daemon holds the lease, that fences are neither issued twice nor
+// decrease, and that no daemon reports a first hold after a hold of another one.
 func (h *holds) check(t *rapid.T, now time.Time, daemons []*daemon) {
 	holders := 0
 	for _, d := range daemons {
@@ -53,20 +53,21 @@
 		holders++
 		self := d.m.opt.Self
 		if fence < h.fence || fence == h.fence && self != h.holder {
-			t.Fatalf("fence %d of %s after %d of %s", fence, self, h.fence, h.holder)
+			t.Fatalf("fence %d of %s follows fence %d of %s", fence, self, h.fence, h.holder)
 		}
 		if fence > h.fence && h.fence > 0 && d.m.FirstHold() {
-			t.Fatalf("%s takes itself for the first holder after another", self)
+			t.Fatalf("%s reports a first hold, but another daemon has held the lease", self)
 		}
 		h.fence, h.holder = fence, self
 	}
 	if holders > 1 {
-		t.Fatalf("%d holders", holders)
+		t.Fatalf("%d daemons hold the lease at once", holders)
 	}
 }
 
-// Two daemons never hold the lease at once, and fences rise, whatever is
-// delayed, lost, frozen or released.
+// Checks in random histories that two daemons never hold the lease at once and
+// that fences increase, while daemons freeze or release the lease, reads fail,
+// and writes or their responses are lost.
 func TestLeaseOneHolder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := &store{}
@@ -102,7 +103,7 @@
 	})
 }
 
-// step lets the platform answer what is out, or asks for more.
+// step lets the platform answer the outstanding action, or else asks the machine for the next one.
 func step(t *rapid.T, now time.Time, d *daemon, s *store) {
 	if !d.waiting {
 		d.out = d.m.Ready(now)
@@ -121,7 +122,7 @@
 	switch rapid.IntRange(0, 4).Draw(t, "write") {
 	case 0: // lost before it took effect
 		d.m.Step(now, WriteDone{Outcome: protocol.WriteUnknown})
-	case 1: // answer lost after it took effect
+	case 1: // response lost after the write took effect
 		s.put(*d.out.Write)
 		d.m.Step(now, WriteDone{Outcome: protocol.WriteUnknown})
 	default:
@@ -133,7 +134,8 @@
 	}
 }
 
-// A lone candidate gets the lease and keeps it while the platform answers.
+// Checks that a single candidate gets the lease, keeps it while the platform
+// answers, and renews it no more often than every third of the term.
 func TestLeaseKept(t *testing.T) {
 	s := &store{}
 	now := time.Unix(1_000_000, 0)
@@ -153,10 +155,10 @@
 		}
 	}
 	if fence, ok := m.Holds(now); !ok || fence != 1 {
-		t.Fatalf("fence %d, held %v", fence, ok)
+		t.Fatalf("got fence %d, held %v; want fence 1, held", fence, ok)
 	}
 	// One minute: a renewal every third of the term.
 	if writes > 32 {
-		t.Errorf("%d writes a minute, at most 32 allowed", writes)
+		t.Errorf("%d writes per minute, want at most 32", writes)
 	}
 }
--- a/coordination/lease/restore_test.go
+++ b/coordination/lease/restore_test.go
@@ -10,13 +10,13 @@
 	"github.com/doorvalve/doorvalve/state/storeversion"
 )
 
-// restoredStore is a store that comes back from older copies of itself: what it has acknowledged
-// since is lost, and its revisions are given out again.
+// restoredStore is a store that can be restored from older copies of itself: writes acknowledged
+// after the copy are lost, and their revisions are assigned again.
 type restoredStore struct {
 	store
 	revision uint64
 	copies   []restoredStore
-	late     []Write // that were not answered, and may be carried out at any time
+	late     []Write // unanswered writes that may still be applied at any time
 }
 
 func (s *restoredStore) put(w Write) bool {
@@ -28,27 +28,27 @@
 	return true
 }
 
-// copyNow keeps what the store can be restored from.
+// copyNow makes a copy that the store can be restored from.
 func (s *restoredStore) copyNow() {
 	s.copies = append(s.copies, restoredStore{store: s.store, revision: s.revision})
 }
 
-// restore brings the store back from one of its copies; later ones are gone.
+// restore restores the store from one of its copies and drops the later copies.
 func (s *restoredStore) restore(i int) {
 	c, generation := s.copies[i], s.version.Generation+1
 	s.store, s.revision, s.copies = c.store, c.revision, s.copies[:i+1]
 	s.version.Generation = generation
 }
 
-// carryOutLate carries one unanswered write out, if its condition holds by now.
+// carryOutLate applies one unanswered write if its condition holds now.
 func (s *restoredStore) carryOutLate(i int) {
 	w := s.late[i]
 	s.late = append(s.late[:i:i], s.late[i+1:]...)
 	s.put(w)
 }
 
-// Guards against two holders at once, a fence that is given out twice and one that falls, where
-// the store comes back from older copies, any number of times, and carries out writes late.
+// Guards against two holders at once and against fences that are issued twice or decrease, while
+// the store is restored from older copies any number of times and applies writes late.
 func TestLeaseOneHolderThroughRestores(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := &restoredStore{store: store{version: storeversion.Version{Generation: 1}}}
@@ -87,7 +87,8 @@
 	})
 }
 
-// stepRestored lets the store answer what is out, or asks for more.
+// stepRestored lets the store answer the outstanding action, or else asks the machine for the next
+// one.
 func stepRestored(t *rapid.T, now time.Time, d *daemon, s *restoredStore) {
 	if !d.waiting {
 		d.out = d.m.Ready(now)
@@ -105,10 +106,10 @@
 	}
 	w := *d.out.Write
 	switch rapid.IntRange(0, 5).Draw(t, "write") {
-	case 0: // carried out later, or never
+	case 0: // applied later, or never
 		s.late = append(s.late, w)
 		d.m.Step(now, WriteDone{Outcome: protocol.WriteUnknown})
-	case 1: // answer lost after it took effect
+	case 1: // response lost after the write took effect
 		s.put(w)
 		d.m.Step(now, WriteDone{Outcome: protocol.WriteUnknown})
 	default:
@@ -120,9 +121,9 @@
 	}
 }
 
-// The same where daemons start again, one at a time, and hear of fences and generations from the
-// others: the next process of a host has its former record for its own, but not one that a restored
-// store has brought back.
+// Guards against the same faults while daemons also restart, one at a time, and learn of fences and
+// generations from the others: the next process of a host counts the record of the process before
+// as its own, but not if a restored store has brought that record back.
 func TestLeaseOneHolderThroughRestoresAndRestarts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := &restoredStore{store: store{version: storeversion.Version{Generation: 1}}}
@@ -171,36 +172,36 @@
 	})
 }
 
-// Guards against a first start that is believed after a restore: the store may have lost the lease,
-// also where it had named no generation before.
+// Guards against a first start that still counts after a restore: the store may have lost the record
+// of the lease, also if it reported no generation before.
 func TestFirstStartCountsInItsGenerationOnly(t *testing.T) {
 	for _, generations := range [][2]uint64{{0, 1}, {1, 2}} {
 		now := time.Unix(1_000_000, 0)
 		m := New(Options{Self: "a", Term: term, Margin: term / 4, FirstStart: true})
 		if r := m.Ready(now); !r.Read {
-			t.Fatalf("%+v before anything is read", r)
+			t.Fatalf("got %+v before the first read, want a read", r)
 		}
 		m.Step(now, ReadDone{Version: storeversion.Version{Generation: generations[0]}})
 		m.Step(now, PeerState{Generation: generations[1]})
 		m.Step(now, Candidate{Yes: true})
 		if r := m.Ready(now); !r.Read {
-			t.Fatalf("%+v in a generation of which nothing is read", r)
+			t.Fatalf("got %+v in a generation that has not been read, want a read", r)
 		}
 		m.Step(now, ReadDone{Version: storeversion.Version{Generation: generations[1]}})
 		for passed := time.Duration(0); passed < term; passed += term / 10 {
 			if r := m.Ready(now.Add(passed)); r.Write != nil {
-				t.Fatalf("generations %v: taken %v after the first sight of the later one", generations, passed)
+				t.Fatalf("generations %v: lease taken %v after the first read of the later generation, want a whole term", generations, passed)
 			} else if r.Read {
 				m.Step(now.Add(passed), ReadDone{Version: storeversion.Version{Generation: generations[1]}})
 			}
 		}
 		if r := m.Ready(now.Add(2 * term)); r.Write == nil || m.FirstHold() {
-			t.Fatalf("generations %v: %+v after a term, first %v", generations, r, m.FirstHold())
+			t.Fatalf("generations %v: got %+v two terms later, first hold %v; want a write and no first hold", generations, r, m.FirstHold())
 		}
 	}
 }
 
-// Guards against a fence that is given out again where nobody knows of those that the copy lacks.
+// Guards against a fence that is issued again because a restore lost it and no daemon knows of it.
 func TestFencesRiseThroughGenerations(t *testing.T) {
 	now, highest := time.Unix(1_000_000, 0), uint64(0)
 	for generation := uint64(1); generation < 5; generation++ {
@@ -214,10 +215,10 @@
 			now = now.Add(2 * term)
 			r := m.Ready(now)
 			if r.Write == nil {
-				t.Fatalf("generation %d: %+v two terms later", generation, r)
+				t.Fatalf("generation %d: got %+v two terms later, want a write", generation, r)
 			}
 			if fence := r.Write.Record.Fence; fence <= highest {
-				t.Fatalf("generation %d: fence %d after %d", generation, fence, highest)
+				t.Fatalf("generation %d: fence %d follows fence %d", generation, fence, highest)
 			}
 			highest, copied = r.Write.Record.Fence, r.Write.Record
 			version.Revision++
