--- a/coordination/lease/lease.go
+++ b/coordination/lease/lease.go
@@ -99,9 +99,9 @@
 	candidate bool
 	releasing bool
 
-	seen       Record               // last record read
+	record     Record               // last record read or written
 	found      bool                 // the object exists
-	version    storeversion.Version // of seen
+	version    storeversion.Version // of record
 	firstSeen  time.Time            // when this daemon first read or wrote version
 	haveRead   bool
 	readFailed bool // the last read failed, or its answer was of an earlier generation
@@ -109,18 +109,18 @@
 	generation      uint64 // highest known generation of the store
 	firstGeneration uint64 // first known generation, 0 if the store reported none
 	everRead        bool
-	highest         uint64 // highest known fence
+	highestFence    uint64 // highest known fence
 
 	busy    bool      // a read or a write is in flight
 	pending *Record   // write without a known result
 	sentAt  time.Time // when pending was sent
 	nextAt  time.Time // next read or renewal
 
-	own    Record    // record under which this daemon holds the lease, or held it last
-	until  time.Time // end of the hold by this daemon's own clock
-	first  bool      // nobody held the lease before own
-	former bool      // the record that own replaced names the former holder
-	writes uint64
+	own         Record    // record under which this daemon holds the lease, or held it last
+	heldUntil   time.Time // end of the hold by this daemon's own clock
+	firstHold   bool      // nobody held the lease before own
+	formerKnown bool      // the record that own replaced names the former holder
+	writes      uint64
 }
 
 // New returns a machine that does not hold the lease.
@@ -136,7 +136,7 @@
 // new generation: before that, only a daemon that holds the lease by its own
 // clock writes the lease again.
 func (m *Machine) Holds(now time.Time) (fence uint64, ok bool) {
-	if m.until.IsZero() || !now.Before(m.until) {
+	if m.heldUntil.IsZero() || !now.Before(m.heldUntil) {
 		return 0, false
 	}
 	return m.own.Fence, true
@@ -153,7 +153,7 @@
 	if !m.haveRead || m.pending != nil || m.free() {
 		return soon
 	}
-	if at := m.firstSeen.Add(max(m.seen.Term, m.opt.Term)); at.After(soon) {
+	if at := m.firstSeen.Add(max(m.record.Term, m.opt.Term)); at.After(soon) {
 		return at
 	}
 	return soon
@@ -161,7 +161,7 @@
 
 // FormerUnknown reports whether a daemon that no record names may have held the lease before the
 // current hold, because the store was restored from a copy.
-func (m *Machine) FormerUnknown() bool { return !m.first && !m.former }
+func (m *Machine) FormerUnknown() bool { return !m.firstHold && !m.formerKnown }
 
 // FormerHolder returns the holder that the last known record names. It is empty if the lease was
 // released, or if the record is older than a restore of the store: other daemons may have held the
@@ -170,20 +170,20 @@
 	if !m.granted() {
 		return ""
 	}
-	return m.seen.Holder
+	return m.record.Holder
 }
 
 // FirstHold reports whether nobody held the lease before the current hold.
-func (m *Machine) FirstHold() bool { return m.first }
+func (m *Machine) FirstHold() bool { return m.firstHold }
 
 // HeldUntil returns the end of the current hold; zero if there is none.
-func (m *Machine) HeldUntil() time.Time { return m.until }
+func (m *Machine) HeldUntil() time.Time { return m.heldUntil }
 
 // Fence returns the fence of the current hold, or of the last one; zero before the first.
 func (m *Machine) Fence() uint64 { return m.own.Fence }
 
 // LastRecord returns the last known record.
-func (m *Machine) LastRecord() Record { return m.seen }
+func (m *Machine) LastRecord() Record { return m.record }
 
 // Step passes one event to the machine; now must never decrease.
 func (m *Machine) Step(now time.Time, e Event) {
@@ -194,7 +194,7 @@
 		m.releasing = true
 		m.nextAt = now
 	case PeerState:
-		m.heard(now, e)
+		m.observePeers(now, e)
 	case ReadDone:
 		m.readDone(now, e)
 	case WriteDone:
@@ -202,10 +202,10 @@
 	}
 }
 
-func (m *Machine) heard(now time.Time, e PeerState) {
-	m.highest = max(m.highest, e.Fence)
+func (m *Machine) observePeers(now time.Time, e PeerState) {
+	m.highestFence = max(m.highestFence, e.Fence)
 	before := m.generation
-	m.hearGeneration(e.Generation)
+	m.observeGeneration(e.Generation)
 	if before < m.generation && m.haveRead {
 		m.nextAt = now
 	}
@@ -215,7 +215,7 @@
 // its version can't be the condition of a write.
 func (m *Machine) current() bool { return m.haveRead && m.version.Generation == m.generation }
 
-func (m *Machine) hearGeneration(g uint64) {
+func (m *Machine) observeGeneration(g uint64) {
 	if m.firstGeneration == 0 && !m.everRead {
 		m.firstGeneration = g
 	}
@@ -224,7 +224,7 @@
 
 func (m *Machine) readDone(now time.Time, e ReadDone) {
 	m.busy = false
-	m.hearGeneration(e.Version.Generation)
+	m.observeGeneration(e.Version.Generation)
 	m.readFailed = e.Err || e.Version.Generation < m.generation
 	if m.readFailed {
 		m.nextAt = now.Add(m.opt.Term / 8)
@@ -234,12 +234,12 @@
 		m.firstSeen = now
 	}
 	m.haveRead, m.everRead = true, true
-	m.found, m.version, m.seen = e.Found, e.Version, e.Record
-	m.highest = max(m.highest, e.Record.Fence)
+	m.found, m.version, m.record = e.Found, e.Version, e.Record
+	m.highestFence = max(m.highestFence, e.Record.Fence)
 	m.nextAt = now.Add(m.opt.Term / 4)
 	p := m.pending
 	m.pending = nil
-	if p != nil && m.granted() && m.seen.WriteID == p.WriteID {
+	if p != nil && m.granted() && m.record.WriteID == p.WriteID {
 		// The write took effect; only its response was lost.
 		m.adopt(*p)
 		return
@@ -248,7 +248,7 @@
 	// late. It is conditional, so all that this can cause is a conflict of
 	// the next write.
 	if m.lost() {
-		m.until = time.Time{}
+		m.heldUntil = time.Time{}
 	}
 	if m.mayTake(now) {
 		m.nextAt = now
@@ -257,7 +257,7 @@
 
 // granted reports whether the last known record grants the lease to the holder that it names: the
 // record was written in the generation in which it was read.
-func (m *Machine) granted() bool { return m.found && m.seen.Generation == m.version.Generation }
+func (m *Machine) granted() bool { return m.found && m.record.Generation == m.version.Generation }
 
 // lost reports whether the last read shows that another daemon may hold the lease. A record that
 // grants nothing doesn't show this, nor does a record missing from a later generation of the store.
@@ -265,12 +265,12 @@
 	if !m.found {
 		return m.version.Generation == m.own.Generation
 	}
-	return m.granted() && m.seen.WriteID != m.own.WriteID && m.seen.Holder != m.opt.Self
+	return m.granted() && m.record.WriteID != m.own.WriteID && m.record.Holder != m.opt.Self
 }
 
 func (m *Machine) writeDone(now time.Time, e WriteDone) {
 	m.busy = false
-	m.hearGeneration(e.Version.Generation)
+	m.observeGeneration(e.Version.Generation)
 	switch e.Outcome {
 	case protocol.WriteOK:
 		if e.Version.Generation != m.pending.Generation {
@@ -283,7 +283,7 @@
 		m.firstSeen = now
 		m.adopt(*m.pending)
 	case protocol.WriteConflict:
-		// Another daemon takes the lease only after this hold is over, so until stays as it is.
+		// Another daemon takes the lease only after this hold is over, so heldUntil stays as it is.
 		m.pending = nil
 		m.readAgain(now)
 	case protocol.WriteUnknown:
@@ -299,13 +299,13 @@
 // adopt makes the record of a write that took effect the current one.
 func (m *Machine) adopt(r Record) {
 	m.pending = nil
-	m.seen, m.own = r, r
-	m.highest = max(m.highest, r.Fence)
+	m.record, m.own = r, r
+	m.highestFence = max(m.highestFence, r.Fence)
 	if r.Holder != m.opt.Self {
-		m.until = time.Time{}
+		m.heldUntil = time.Time{}
 		return
 	}
-	m.until = m.sentAt.Add(m.opt.Term - m.opt.Margin)
+	m.heldUntil = m.sentAt.Add(m.opt.Term - m.opt.Margin)
 	m.nextAt = m.sentAt.Add(m.opt.Term / 3)
 }
 
@@ -326,12 +326,12 @@
 		r.Renewals++
 		if m.releasing {
 			r.Holder = ""
-			m.until = time.Time{}
+			m.heldUntil = time.Time{}
 		}
 		return m.write(now, r)
 	}
 	if m.mayTake(now) {
-		m.first, m.former = m.neverHeld(), m.granted()
+		m.firstHold, m.formerKnown = m.neverHeld(), m.granted()
 		return m.write(now, Record{Holder: m.opt.Self, Fence: m.nextFence(), Term: m.opt.Term})
 	}
 	m.busy = true
@@ -344,7 +344,7 @@
 	if !m.current() || !m.candidate || m.releasing || m.pending != nil {
 		return false
 	}
-	return m.free() || !now.Before(m.firstSeen.Add(max(m.seen.Term, m.opt.Term)))
+	return m.free() || !now.Before(m.firstSeen.Add(max(m.record.Term, m.opt.Term)))
 }
 
 // free reports whether nobody can hold the lease.
@@ -353,13 +353,13 @@
 		return m.neverHeld()
 	}
 	// Self identifies this process, so nobody else holds the lease under its own record.
-	return m.granted() && (m.seen.Holder == "" || m.seen.Holder == m.opt.Self)
+	return m.granted() && (m.record.Holder == "" || m.record.Holder == m.opt.Self)
 }
 
 // neverHeld reports whether the lease has certainly never been held. A missing record alone doesn't
 // show this: a store that was restored from a copy may have lost it.
 func (m *Machine) neverHeld() bool {
-	if m.found || m.highest > 0 {
+	if m.found || m.highestFence > 0 {
 		return false
 	}
 	return m.version.Generation == 0 || m.opt.FirstStart && m.version.Generation == m.firstGeneration
@@ -377,7 +377,7 @@
 // nextFence returns a fence above all issued fences. A restored store may have lost fences that no
 // daemon knows, so the fences of each generation start above all those of the generation before.
 func (m *Machine) nextFence() uint64 {
-	return max(m.highest, min(m.version.Generation, maxFenceGeneration)<<fenceBits) + 1
+	return max(m.highestFence, min(m.version.Generation, maxFenceGeneration)<<fenceBits) + 1
 }
 
 func (m *Machine) write(now time.Time, r Record) Ready {
--- a/coordination/lease/lease_test.go
+++ b/coordination/lease/lease_test.go
@@ -36,14 +36,14 @@
 }
 
 // holds is the newest hold observed so far, by any daemon.
-type holds struct {
+type newestHold struct {
 	fence  uint64
 	holder string
 }
 
 // check verifies that at most one daemon holds the lease, that fences are neither issued twice nor
 // decrease, and that no daemon reports a first hold after a hold of another one.
-func (h *holds) check(t *rapid.T, now time.Time, daemons []*daemon) {
+func (h *newestHold) check(t *rapid.T, now time.Time, daemons []*daemon) {
 	holders := 0
 	for _, d := range daemons {
 		fence, ok := d.m.Holds(now)
@@ -79,8 +79,8 @@
 			d.m.Step(now, Candidate{Yes: true})
 			daemons = append(daemons, d)
 		}
-		var seen holds
-		check := func() { seen.check(t, now, daemons) }
+		var newest newestHold
+		check := func() { newest.check(t, now, daemons) }
 		for range rapid.IntRange(10, 400).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 1500).Draw(t, "ms")) * time.Millisecond)
 			d := daemons[rapid.IntRange(0, 2).Draw(t, "daemon")]
--- a/coordination/lease/restore_test.go
+++ b/coordination/lease/restore_test.go
@@ -41,7 +41,7 @@
 }
 
 // carryOutLate applies one unanswered write if its condition holds now.
-func (s *restoredStore) carryOutLate(i int) {
+func (s *restoredStore) applyLate(i int) {
 	w := s.late[i]
 	s.late = append(s.late[:i:i], s.late[i+1:]...)
 	s.put(w)
@@ -60,8 +60,8 @@
 			daemons = append(daemons, d)
 		}
 		s.copyNow()
-		var seen holds
-		check := func() { seen.check(t, now, daemons) }
+		var newest newestHold
+		check := func() { newest.check(t, now, daemons) }
 		for range rapid.IntRange(10, 400).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 1500).Draw(t, "ms")) * time.Millisecond)
 			check()
@@ -74,7 +74,7 @@
 				s.revision += uint64(rapid.IntRange(1, 3).Draw(t, "others"))
 			case 5, 6:
 				if len(s.late) > 0 {
-					s.carryOutLate(rapid.IntRange(0, len(s.late)-1).Draw(t, "late"))
+					s.applyLate(rapid.IntRange(0, len(s.late)-1).Draw(t, "late"))
 				}
 			}
 			d := daemons[rapid.IntRange(0, 2).Draw(t, "daemon")]
@@ -140,8 +140,8 @@
 		}
 		first = false
 		s.copyNow()
-		var seen holds
-		check := func() { seen.check(t, now, daemons) }
+		var newest newestHold
+		check := func() { newest.check(t, now, daemons) }
 		for range rapid.IntRange(10, 300).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 1500).Draw(t, "ms")) * time.Millisecond)
 			check()
@@ -154,18 +154,18 @@
 				s.revision += uint64(rapid.IntRange(1, 3).Draw(t, "others"))
 			case 5, 6:
 				if len(s.late) > 0 {
-					s.carryOutLate(rapid.IntRange(0, len(s.late)-1).Draw(t, "late"))
+					s.applyLate(rapid.IntRange(0, len(s.late)-1).Draw(t, "late"))
 				}
 			}
 			i := rapid.IntRange(0, len(daemons)-1).Draw(t, "daemon")
 			if rapid.IntRange(0, 19).Draw(t, "restart") == 0 {
 				daemons[i] = begin(daemons[i].m.opt.Self)
 			}
-			told := PeerState{Fence: seen.fence}
-			if rapid.Bool().Draw(t, "told") {
-				told.Generation = s.version.Generation
+			state := PeerState{Fence: newest.fence}
+			if rapid.Bool().Draw(t, "generation known") {
+				state.Generation = s.version.Generation
 			}
-			daemons[i].m.Step(now, told)
+			daemons[i].m.Step(now, state)
 			stepRestored(t, now, daemons[i], s)
 			check()
 		}
