--- a/coordination/claims/claims.go
+++ b/coordination/claims/claims.go
@@ -1,9 +1,11 @@
-// Package claims makes requests that may not be repeated run at most once.
-// A key is claimed durably before its request goes to an endpoint. Keys hash
-// to shards; a shard is kept in one head object and sealed segments, and an
-// append of many keys is one conditional update of the head. The condition is
-// the fence: an owner with a stale view writes nothing. The package is a
-// state machine without I/O.
+// Package claims lets non-repeatable requests run at most once: the idempotency
+// key of a request is claimed durably before the request goes to an endpoint.
+// Keys hash to shards. A shard is stored as one head object and sealed segments,
+// and an append of many keys is one conditional write of the head. That condition
+// fences off owners with a stale view: their writes fail.
+//
+// Shard is a state machine without I/O: callers pass events and the time to Step,
+// and carry out the actions that Ready returns.
 package claims
 
 import (
@@ -20,15 +22,15 @@
 	"github.com/doorvalve/doorvalve/state/storeversion"
 )
 
-// The daemon's settings of a shard. Each append writes the open records again,
-// so their number and the interval bound a shard's bytes a second.
+// Default settings of a shard. Each append writes the open records again, so
+// their number and the interval bound the bytes per second of a shard.
 const (
 	DefaultInterval = 50 * time.Millisecond
 	DefaultMaxOpen  = 32
 )
 
-// Segments of one level are merged into one of the next, so that the head
-// names few of them and a takeover reads few.
+// The segments of one level are merged into one segment of the next level, so
+// that the head lists few segments and a new owner reads few.
 const (
 	mergeFanIn = 16
 	maxLevel   = 2 // 32*16*16 records, about 270 KB
@@ -54,18 +56,18 @@
 	return uint32(binary.BigEndian.Uint64(k[:8]) % uint64(max(1, n)))
 }
 
-// Record is one claimed key with the mark of the one attempt that may be made.
-// It is written as 32 characters, since the open records are written again
-// with each append.
+// Record is one claimed key with the hash of the claim id of the only attempt
+// allowed for it. Its encoding is short, 32 characters, because the open records
+// are written again with each append.
 type Record struct {
 	Key       Key
 	ClaimHash ClaimHash
 }
 
-// Mark is the hash of a claim id.
+// ClaimHash is the hash of a claim id.
 type ClaimHash uint64
 
-// MarkOf hashes a claim id.
+// HashClaimID returns the hash of a claim id.
 func HashClaimID(claimID string) ClaimHash { return ClaimHash(xxhash.Sum64String(claimID)) }
 
 const recordSize = KeySize + 8
@@ -83,38 +85,39 @@
 		return err
 	}
 	if len(b) != recordSize {
-		return fmt.Errorf("a record of %d bytes, found %d", recordSize, len(b))
+		return fmt.Errorf("claim record: want %d bytes, got %d", recordSize, len(b))
 	}
 	copy(r.Key[:], b)
 	r.ClaimHash = ClaimHash(binary.BigEndian.Uint64(b[KeySize:]))
 	return nil
 }
 
-// SegmentRef names a sealed segment.
+// SegmentRef refers to a sealed segment.
 type SegmentRef struct {
 	Name  string `json:"n"`
 	Unix  int64  `json:"t"`           // when its newest record was sealed
-	Level int    `json:"l,omitempty"` // how often its records were merged
+	Level int    `json:"l,omitempty"` // number of times that its records were merged
 }
 
-// Head is the open end of a shard.
+// Head is the object of a shard that appends change: it holds the open records
+// and refers to the sealed segments.
 type Head struct {
 	WriteID string       `json:"write_id"`
 	Open    []Record     `json:"open"`
 	Sealed  []SegmentRef `json:"sealed,omitempty"`
 }
 
-// Segment is a sealed part of a shard; it never changes.
+// Segment holds sealed records of a shard; it never changes.
 type Segment struct {
 	Records []Record `json:"records"`
 }
 
-// Outcome answers a claim.
+// Outcome is the result of a claim or release.
 type Outcome int
 
 // The outcomes of a claim or release.
 const (
-	Unavailable Outcome = iota // nothing is known to be written; do not dispatch
+	Unavailable Outcome = iota // not known to be written; the request must not be dispatched
 	Granted                    // the key is claimed for this claim id
 	Duplicate                  // the key was claimed before
 )
@@ -122,19 +125,19 @@
 // Event is an input of the machine.
 type Event interface{ claimsEvent() }
 
-// Claim asks for a key. ClaimID names the attempt.
+// Claim requests a key. ClaimID identifies the attempt.
 type Claim struct {
 	Key     Key
 	ClaimID string
 }
 
-// Release gives back a key whose request has certainly not run.
+// Release releases a key whose request has certainly not run.
 type Release struct {
 	Key     Key
 	ClaimID string
 }
 
-// ReadDone reports the head and all its sealed segments.
+// ReadDone reports the result of a read: the head and all its sealed segments.
 type ReadDone struct {
 	Err      bool
 	Head     Head
@@ -142,13 +145,14 @@
 	Segments map[string]Segment
 }
 
-// WriteDone reports the last write. Its version tells the platform's generation also after a conflict.
+// WriteDone reports the result of the last write. After a conflict, Version still holds the platform's
+// generation.
 type WriteDone struct {
 	Outcome protocol.WriteOutcome
 	Version storeversion.Version
 }
 
-// Heard tells of the platform's generation.
+// GenerationUpdate reports the latest known generation of the platform's store.
 type GenerationUpdate struct{ Generation uint64 }
 
 func (Claim) claimsEvent()            {}
@@ -157,7 +161,7 @@
 func (WriteDone) claimsEvent()        {}
 func (GenerationUpdate) claimsEvent() {}
 
-// Result answers a Claim or Release.
+// Result is the answer to a Claim or Release.
 type Result struct {
 	ClaimID string
 	Key     Key
@@ -165,8 +169,8 @@
 	Outcome Outcome
 }
 
-// Write is a conditional update of the head, after the segment, if any, was
-// created.
+// Write is a conditional write of the head. The segment Seal, if not nil, must be
+// created under SealName first.
 type Write struct {
 	Head            Head
 	ExpectedVersion storeversion.Version
@@ -174,11 +178,11 @@
 	SealName        string
 }
 
-// Ready is what the caller has to do now.
+// Ready holds the actions that the caller must carry out now.
 type Ready struct {
 	Read    bool
 	Write   *Write
-	Expired []SegmentRef // may be deleted
+	Expired []SegmentRef // segments that may be deleted
 	Results []Result
 }
 
@@ -186,50 +190,50 @@
 type Options struct {
 	Owner     string
 	Shard     uint32
-	Interval  time.Duration // least time between two writes
-	RetryWait time.Duration // after a failed read
-	Retention time.Duration
-	MaxOpen   int // records in the head before it is sealed
+	Interval  time.Duration // minimum time between two writes
+	RetryWait time.Duration // delay after a failed read
+	Retention time.Duration // of sealed records
+	MaxOpen   int           // number of open records from which they are sealed
 }
 
 type request struct {
 	key     Key
 	claimID string
 	release bool
-	after   int // reads begun before it came
+	after   int // number of reads begun before the request arrived
 }
 
 func (r request) mark() ClaimHash { return HashClaimID(r.claimID) }
 func (r request) record() Record  { return Record{Key: r.key, ClaimHash: r.mark()} }
 
-// Shard is one shard as its present owner sees it.
+// Shard is its owner's view of one shard. It is not safe for concurrent use.
 type Shard struct {
 	opt     Options
 	head    Head
 	version storeversion.Version
-	current bool              // head was the newest at the last exchange
-	owns    bool              // no other owner has written since, as far as is known
-	stale   bool              // the platform has been restored since the head was read
-	restore []Record          // granted here, and lost by the platform in a restore
+	current bool              // head was the newest at the last read or write
+	owns    bool              // no write of another owner is known since head was read
+	stale   bool              // the platform has been restored since head was read
+	restore []Record          // granted by this owner and lost in a restore of the platform
 	index   map[Key]ClaimHash // claimed keys
 	sealed  map[string][]Key  // keys of each sealed segment
-	sealing *sealing          // of the write that is out
+	sealing *sealing          // segment of the write in flight
 	waiting []request
-	flying  []request // in the write that is out
-	next    *Head     // written by it
-	dropped []SegmentRef
-	busy    bool
-	reads   int       // begun
-	at      time.Time // earliest next read or write
+	flying  []request    // requests of the write in flight
+	next    *Head        // head of the write in flight
+	dropped []SegmentRef // segments that the write in flight expires
+	busy    bool         // a read or a write is in flight
+	reads   int          // number of reads begun
+	at      time.Time    // earliest time of the next read or write
 	results []Result
 	expired []SegmentRef
 	writes  uint64
 }
 
-// NewShard returns a shard that has read nothing yet.
+// NewShard returns a shard that has not been read yet.
 func NewShard(opt Options) *Shard { return &Shard{opt: opt} }
 
-// Step takes one event.
+// Step passes one event to the shard.
 func (s *Shard) Step(now time.Time, e Event) {
 	switch e := e.(type) {
 	case Claim:
@@ -270,8 +274,8 @@
 	s.settle()
 }
 
-// takeOver keeps what was granted here and is gone from a restored platform. It is written again
-// before anything else.
+// takeOver keeps the claims of before that a restored platform has lost. They are written again
+// before any other request.
 func (s *Shard) takeOver(before map[Key]ClaimHash) {
 	s.restore = nil
 	for key, mark := range before {
@@ -292,9 +296,10 @@
 	s.sealed[name] = keys
 }
 
-// settle answers the requests of a write whose own answer was lost: its claim
-// ids are in the shard, or the write has not taken effect and, since its
-// condition no longer holds or is about to be used up, they are tried again.
+// settle queues the requests of a write without a known result again. If the
+// write took effect, the head that was just read holds their claim ids, and they
+// are answered from it. If not, they go into the next write: either the
+// condition of the lost write no longer holds, or the next write uses it up.
 func (s *Shard) settle() {
 	s.waiting = append(s.flying, s.waiting...)
 	s.flying, s.next = nil, nil
@@ -335,14 +340,14 @@
 	s.dropped = nil
 }
 
-// sealing is a segment that the write which is out creates.
+// sealing is the segment that the write in flight creates.
 type sealing struct {
 	name   string
 	keys   []Key
-	merged []SegmentRef // that it replaces
+	merged []SegmentRef // segments that it replaces
 }
 
-// settleSealing takes over the segment of a write that took effect.
+// settleSealing records the segment of a write that took effect.
 func (s *Shard) settleSealing() {
 	if s.sealing == nil {
 		return
@@ -355,7 +360,7 @@
 	s.sealing = nil
 }
 
-// dropSealing gives up the segment of a write that certainly had no effect.
+// dropSealing expires the segment of a write that certainly had no effect.
 func (s *Shard) dropSealing() {
 	if s.sealing != nil {
 		s.expired = append(s.expired, SegmentRef{Name: s.sealing.name})
@@ -373,7 +378,7 @@
 	*list = nil
 }
 
-// Ready returns what has to be done now.
+// Ready returns the actions that are due now.
 func (s *Shard) Ready(now time.Time) Ready {
 	r := Ready{}
 	if !s.busy && !now.Before(s.at) && s.wants() {
@@ -389,8 +394,8 @@
 	return r
 }
 
-// NextAt returns when Ready may have something to write; zero when nothing
-// waits.
+// NextAt returns when Ready may next return a read or a write; zero if there is
+// nothing to read or write, or while a call is in flight.
 func (s *Shard) NextAt() time.Time {
 	if s.busy || !s.wants() {
 		return time.Time{}
@@ -398,13 +403,14 @@
 	return s.at
 }
 
-// wants reports whether there is something to read or write: requests, or what a restored platform
-// may have lost.
+// wants reports whether there is something to read or write: requests, or claims that a restored
+// platform may have lost.
 func (s *Shard) wants() bool {
 	return len(s.waiting)+len(s.flying)+len(s.restore) > 0 || s.stale
 }
 
-// write builds the next head out of all that waits.
+// write builds the next head from all waiting requests. It returns nil if there
+// is nothing to write.
 //
 // Invariant: a key is granted only by a write whose condition is the version
 // of the head that index was built from, so no other daemon can have claimed
@@ -428,7 +434,7 @@
 	return w
 }
 
-// seal moves the open records to a segment when there are many.
+// seal moves the open records to a new segment if there are at least MaxOpen.
 func (s *Shard) seal(now time.Time, next *Head, w *Write) bool {
 	if len(next.Open) < s.opt.MaxOpen {
 		return false
@@ -448,8 +454,9 @@
 	return fmt.Sprintf("%d-%s", s.opt.Shard, next.WriteID)
 }
 
-// merge makes one segment of those of a level when there are many. A sealed
-// key is never released, so the index still holds its mark.
+// merge replaces the segments of a level by one segment if there are at least
+// mergeFanIn. A sealed key is never released, so the index still holds its claim
+// hash.
 func (s *Shard) merge(next *Head, w *Write) bool {
 	for level := range maxLevel {
 		var old []SegmentRef
@@ -505,12 +512,13 @@
 			next.Open = slices.DeleteFunc(next.Open, func(rec Record) bool { return rec == r.record() })
 			s.fly(r, inBatch)
 		case taken && holder == r.mark():
-			s.answer(r, Granted) // a repeated claim, or a lost answer's
+			s.answer(r, Granted) // a repeated claim, or a claim whose write's response was lost
 		case taken && r.after < s.reads:
 			s.answer(r, Duplicate)
 		case taken:
 			// The index may be older than the request: another owner may
-			// have released the key. Only a read begun since can tell.
+			// have released the key. Only a read begun after the request
+			// arrived shows whether it has.
 			later = append(later, r)
 			s.current = false
 		default:
@@ -526,11 +534,11 @@
 	s.flying = append(s.flying, r)
 }
 
-// releasable reports whether r's claim is still in the open part; a sealed
-// claim stays until its retention ends.
+// releasable reports whether r's claim is still an open record; a sealed claim
+// stays until its retention ends.
 func (s *Shard) releasable(next *Head, r request) bool {
 	return slices.Contains(next.Open, r.record())
 }
 
-// Size returns the number of keys held.
+// Size returns the number of claimed keys in the shard.
 func (s *Shard) Size() int { return len(s.index) }
--- a/coordination/claims/claims_test.go
+++ b/coordination/claims/claims_test.go
@@ -14,7 +14,7 @@
 	"github.com/doorvalve/doorvalve/state/storeversion"
 )
 
-// platform is the object API with conditional updates.
+// platform is the platform's object store with conditional writes.
 type platform struct {
 	head     Head
 	version  storeversion.Version
@@ -40,7 +40,7 @@
 	for _, ref := range p.head.Sealed {
 		seg, ok := p.segments[ref.Name]
 		if !ok {
-			return ReadDone{Err: true} // another owner has merged it meanwhile
+			return ReadDone{Err: true} // another owner has merged the segment meanwhile
 		}
 		e.Segments[ref.Name] = seg
 	}
@@ -51,21 +51,21 @@
 	s       *Shard
 	out     Ready
 	waiting bool
-	late    []Write // lost writes that may still arrive
+	late    []Write // unanswered writes that may still be applied
 }
 
 func newOwner(name string) *owner {
 	return &owner{s: NewShard(Options{Owner: name, Interval: 20 * time.Millisecond, RetryWait: 200 * time.Millisecond, Retention: time.Hour, MaxOpen: 4})}
 }
 
-// Claim histories: an operation is a claim or release of a key.
+// claimInput is an operation of a claim history: a claim or release of a key.
 type claimInput struct {
 	key     Key
 	claimID string
 	release bool
 }
 
-// model is a register for each key that holds the claim id.
+// model is one register per key; it holds the claim id.
 var model = porcupine.Model{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		byKey := map[Key][]porcupine.Operation{}
@@ -86,13 +86,13 @@
 		case in.release && out == Granted:
 			return holder == in.claimID, ""
 		case in.release && holder == in.claimID:
-			return true, "" // no answer: it may have taken effect, now or later
+			return true, "" // no answer: the release may take effect now or later
 		case in.release:
 			return true, holder
 		case out == Granted:
 			return holder == "" || holder == in.claimID, in.claimID
 		case out == Unavailable && holder == "":
-			return true, in.claimID // no answer, as above
+			return true, in.claimID // no answer: the claim may take effect now or later
 		case out == Unavailable:
 			return true, holder
 		default:
@@ -101,9 +101,9 @@
 	},
 }
 
-// Several daemons believe to own the shard at once; writes are lost before and
-// after they took effect, arrive late, and answers are lost. A key is granted
-// to one claim id only, until that claim is released.
+// Checks that a key is granted to only one claim id until that claim is released,
+// while several daemons act as owners of the shard at once, writes and their
+// responses are lost, and writes are applied late.
 func TestClaimsLinearizable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := &platform{segments: map[string]Segment{}}
@@ -131,7 +131,7 @@
 			for _, r := range results {
 				in := claimInput{r.Key, r.ClaimID, r.Release}
 				if r.Outcome == Unavailable {
-					continue // stays open: it may take effect at any later time
+					continue // the operation stays open: it may take effect at any later time
 				}
 				add(in, r.Outcome, tick())
 				if r.Outcome == Granted && !r.Release {
@@ -166,7 +166,7 @@
 		}
 		for _, part := range model.Partition(history) {
 			if !porcupine.CheckOperations(model, part) {
-				t.Fatalf("history of a key is not linearizable:\n%s", format(part))
+				t.Fatalf("the history of one key is not linearizable:\n%s", format(part))
 			}
 		}
 	})
@@ -216,7 +216,7 @@
 	}
 }
 
-// run drives one owner without faults for a while.
+// run drives one owner without faults for the time d.
 func run(o *owner, p *platform, now time.Time, d time.Duration) (time.Time, []Result) {
 	var results []Result
 	for end := now.Add(d); now.Before(end); now = now.Add(time.Millisecond) {
@@ -239,10 +239,10 @@
 	return now, results
 }
 
-// The writes a second stay flat as the claims grow, and no claim is lost when
-// another owner takes over.
+// Checks that the writes per second don't grow with the number of claims, and
+// that no claim is lost when another owner takes over.
 func TestClaimsWritesStayFlat(t *testing.T) {
-	const maxWritesASecond = 55 // one every 20 ms, and the sealing of segments
+	const maxWritesASecond = 55 // one append every 20 ms, plus those that seal segments
 	for _, rate := range []int{10, 100, 1000} {
 		p := &platform{segments: map[string]Segment{}}
 		o := newOwner("a")
@@ -258,13 +258,13 @@
 		writes := p.writes
 		now, results := run(o, p, now, time.Second)
 		if granted += len(results); granted != rate {
-			t.Errorf("%d of %d claims granted", granted, rate)
+			t.Errorf("%d of %d claims granted, want all", granted, rate)
 		}
 		if refs := len(p.head.Sealed); refs > 2*mergeFanIn || refs != len(p.segments) {
-			t.Errorf("%d claims: the head names %d segments of %d kept", rate, refs, len(p.segments))
+			t.Errorf("%d claims: the head lists %d segments, the platform stores %d", rate, refs, len(p.segments))
 		}
 		if writes > maxWritesASecond {
-			t.Errorf("%d claims a second took %d writes, at most %d allowed", rate, writes, maxWritesASecond)
+			t.Errorf("%d claims per second took %d writes, want at most %d", rate, writes, maxWritesASecond)
 		}
 		next := newOwner("b")
 		for i := range rate {
@@ -273,17 +273,17 @@
 		_, results = run(next, p, now, time.Second)
 		for _, r := range results {
 			if r.Outcome != Duplicate {
-				t.Fatalf("after a takeover %s got outcome %d", r.ClaimID, r.Outcome)
+				t.Fatalf("claim %s after a takeover: got outcome %d, want Duplicate", r.ClaimID, r.Outcome)
 			}
 		}
 		if len(results) != rate {
-			t.Errorf("%d of %d claims answered after a takeover", len(results), rate)
+			t.Errorf("%d of %d claims answered after a takeover, want all", len(results), rate)
 		}
 	}
 }
 
-// A released key can be claimed again; a sealed one stays until its retention
-// ends.
+// Checks that a released key can be claimed again, and that a sealed claim stays
+// until its retention ends.
 func TestClaimsReleaseAndRetention(t *testing.T) {
 	p := &platform{segments: map[string]Segment{}}
 	o := newOwner("a")
@@ -294,7 +294,7 @@
 		var results []Result
 		now, results = run(o, p, now, 100*time.Millisecond)
 		if len(results) != 1 || results[0].Outcome != want {
-			t.Fatalf("results %+v, want one with outcome %d", results, want)
+			t.Fatalf("got results %+v, want one with outcome %d", results, want)
 		}
 	}
 	o.s.Step(now, Claim{Key: k, ClaimID: "1"})
@@ -305,7 +305,7 @@
 	expect(Granted)
 	o.s.Step(now, Claim{Key: k, ClaimID: "3"})
 	expect(Granted)
-	for i := range 8 { // seal it
+	for i := range 8 { // enough claims to seal k
 		o.s.Step(now, Claim{Key: MakeKey("c", "s", fmt.Sprint("f", i)), ClaimID: fmt.Sprint("f", i)})
 		expect(Granted)
 	}
--- a/coordination/claims/restore_test.go
+++ b/coordination/claims/restore_test.go
@@ -9,7 +9,7 @@
 	"github.com/doorvalve/doorvalve/state/storeversion"
 )
 
-// restore brings the platform back from a copy: what was acknowledged since is lost.
+// restore restores the platform from a copy: writes acknowledged after the copy are lost.
 func (p *platform) restore(c platform) {
 	generation := p.version.Generation + 1
 	p.head, p.segments = c.head, map[string]Segment{}
@@ -27,8 +27,8 @@
 	return c
 }
 
-// carryOut answers all that an owner asks of the platform and returns the outcomes of its claims. As
-// the client does, it sends no condition of an older generation.
+// carryOut carries out the reads and writes of an owner for two seconds and returns the outcomes of
+// its claims. Like the platform's client, it does not send a condition of an older generation.
 func carryOut(p *platform, o *owner, now *time.Time) map[string]Outcome {
 	outcomes := map[string]Outcome{}
 	for range 40 {
@@ -49,8 +49,8 @@
 	return outcomes
 }
 
-// Guards against a request that may run once and runs again, since the platform lost its claim in a
-// restore: the owner knows what it has granted and writes it again, also if nobody asks.
+// Guards against a request that runs a second time because the platform lost its claim in a restore:
+// the owner writes the claims that it has granted again, also without a new request.
 func TestClaimsOutlastARestore(t *testing.T) {
 	for _, n := range []int{1, 3, 40} {
 		now := time.Unix(1_000_000, 0)
@@ -60,7 +60,7 @@
 		for i := range n {
 			o.s.Step(now, Claim{Key: MakeKey("c", "s", fmt.Sprint(i)), ClaimID: fmt.Sprint("first", i)})
 			if got := carryOut(p, o, &now); got[fmt.Sprint("first", i)] != Granted {
-				t.Fatalf("%d of %d: %v", i, n, got)
+				t.Fatalf("claim %d of %d: got %v, want Granted", i, n, got)
 			}
 		}
 		p.restore(c)
@@ -72,14 +72,15 @@
 				id := fmt.Sprint("again", i, by.s.opt.Owner)
 				by.s.Step(now, Claim{Key: MakeKey("c", "s", fmt.Sprint(i)), ClaimID: id})
 				if got := carryOut(p, by, &now); got[id] != Duplicate {
-					t.Fatalf("%d of %d at %s after the restore: %v, want a duplicate", i, n, by.s.opt.Owner, got)
+					t.Fatalf("claim %d of %d at %s after the restore: got %v, want Duplicate", i, n, by.s.opt.Owner, got)
 				}
 			}
 		}
 	}
 }
 
-// What another owner has released is not claimed again by one that knew of it before.
+// Guards against a former owner that, after a restore, writes a claim again which another owner has
+// released.
 func TestFormerOwnerRestoresNothing(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	p := &platform{segments: map[string]Segment{}, version: storeversion.Version{Generation: 1}}
@@ -93,13 +94,13 @@
 	a.s.Step(now, Claim{Key: other, ClaimID: "y"}) // meets b's write
 	r := a.s.Ready(now.Add(time.Second))
 	if r.Write == nil || p.put(*r.Write) {
-		t.Fatalf("%+v: the condition holds", r)
+		t.Fatalf("got %+v, want a write that conflicts with the release by b", r)
 	}
 	a.s.Step(now, WriteDone{Outcome: protocol.WriteConflict, Version: p.version.WithRevision(0)})
 	p.restore(c)
 	carryOut(p, a, &now)
 	a.s.Step(now, Claim{Key: key, ClaimID: "z"})
 	if got := carryOut(p, a, &now); got["z"] != Granted {
-		t.Fatalf("%v, want granted", got)
+		t.Fatalf("got %v, want Granted", got)
 	}
 }
