--- a/coordination/claims/claims.go
+++ b/coordination/claims/claims.go
@@ -197,37 +197,37 @@
 }
 
 type request struct {
-	key     Key
-	claimID string
-	release bool
-	after   int // number of reads begun before the request arrived
+	key         Key
+	claimID     string
+	release     bool
+	readsBefore int // number of reads begun before the request arrived
 }
 
-func (r request) mark() ClaimHash { return HashClaimID(r.claimID) }
-func (r request) record() Record  { return Record{Key: r.key, ClaimHash: r.mark()} }
+func (r request) claimHash() ClaimHash { return HashClaimID(r.claimID) }
+func (r request) record() Record       { return Record{Key: r.key, ClaimHash: r.claimHash()} }
 
 // Shard is its owner's view of one shard. It is not safe for concurrent use.
 type Shard struct {
-	opt     Options
-	head    Head
-	version storeversion.Version
-	current bool              // head was the newest at the last read or write
-	owns    bool              // no write of another owner is known since head was read
-	stale   bool              // the platform has been restored since head was read
-	restore []Record          // granted by this owner and lost in a restore of the platform
-	index   map[Key]ClaimHash // claimed keys
-	sealed  map[string][]Key  // keys of each sealed segment
-	sealing *sealing          // segment of the write in flight
-	waiting []request
-	flying  []request    // requests of the write in flight
-	next    *Head        // head of the write in flight
-	dropped []SegmentRef // segments that the write in flight expires
-	busy    bool         // a read or a write is in flight
-	reads   int          // number of reads begun
-	at      time.Time    // earliest time of the next read or write
-	results []Result
-	expired []SegmentRef
-	writes  uint64
+	opt        Options
+	head       Head
+	version    storeversion.Version
+	current    bool              // head was the newest at the last read or write
+	owns       bool              // no write of another owner is known since head was read
+	stale      bool              // the platform has been restored since head was read
+	lostClaims []Record          // granted by this owner and lost in a restore of the platform
+	index      map[Key]ClaimHash // claimed keys
+	sealed     map[string][]Key  // keys of each sealed segment
+	sealing    *sealing          // segment of the write in flight
+	waiting    []request
+	inFlight   []request    // requests of the write in flight
+	next       *Head        // head of the write in flight
+	expiring   []SegmentRef // segments that the write in flight expires
+	busy       bool         // a read or a write is in flight
+	reads      int          // number of reads begun
+	nextAt     time.Time    // earliest time of the next read or write
+	results    []Result
+	expired    []SegmentRef
+	writes     uint64
 }
 
 // NewShard returns a shard that has not been read yet.
@@ -253,11 +253,11 @@
 func (s *Shard) readDone(now time.Time, e ReadDone) {
 	s.busy = false
 	if e.Err {
-		s.at = now.Add(s.opt.RetryWait)
+		s.nextAt = now.Add(s.opt.RetryWait)
 		s.fail(&s.waiting)
 		return
 	}
-	restored, before := s.owns && s.version.Generation < e.Version.Generation, s.index
+	restored, previous := s.owns && s.version.Generation < e.Version.Generation, s.index
 	s.head, s.version, s.current, s.owns, s.stale = e.Head, e.Version, true, true, false
 	s.index, s.sealed = map[Key]ClaimHash{}, map[string][]Key{}
 	for name, seg := range e.Segments {
@@ -267,24 +267,24 @@
 		s.index[r.Key] = r.ClaimHash
 	}
 	if restored {
-		s.takeOver(before)
+		s.restoreClaims(previous)
 	} else {
-		s.restore = nil
+		s.lostClaims = nil
 	}
-	s.settle()
+	s.requeue()
 }
 
-// takeOver keeps the claims of before that a restored platform has lost. They are written again
+// restoreClaims keeps the previous claims that a restored platform has lost. They are written again
 // before any other request.
-func (s *Shard) takeOver(before map[Key]ClaimHash) {
-	s.restore = nil
-	for key, mark := range before {
+func (s *Shard) restoreClaims(previous map[Key]ClaimHash) {
+	s.lostClaims = nil
+	for key, hash := range previous {
 		if _, ok := s.index[key]; !ok {
-			s.index[key] = mark
-			s.restore = append(s.restore, Record{Key: key, ClaimHash: mark})
+			s.index[key] = hash
+			s.lostClaims = append(s.lostClaims, Record{Key: key, ClaimHash: hash})
 		}
 	}
-	slices.SortFunc(s.restore, func(a, b Record) int { return bytes.Compare(a.Key[:], b.Key[:]) })
+	slices.SortFunc(s.lostClaims, func(a, b Record) int { return bytes.Compare(a.Key[:], b.Key[:]) })
 }
 
 func (s *Shard) addSegment(name string, records []Record) {
@@ -296,72 +296,72 @@
 	s.sealed[name] = keys
 }
 
-// settle queues the requests of a write without a known result again. If the
+// requeue queues the requests of a write without a known result again. If the
 // write took effect, the head that was just read holds their claim ids, and they
 // are answered from it. If not, they go into the next write: either the
 // condition of the lost write no longer holds, or the next write uses it up.
-func (s *Shard) settle() {
-	s.waiting = append(s.flying, s.waiting...)
-	s.flying, s.next = nil, nil
+func (s *Shard) requeue() {
+	s.waiting = append(s.inFlight, s.waiting...)
+	s.inFlight, s.next = nil, nil
 }
 
 func (s *Shard) writeDone(now time.Time, e WriteDone) {
 	s.busy = false
-	s.at = now.Add(s.opt.Interval)
+	s.nextAt = now.Add(s.opt.Interval)
 	if e.Outcome != protocol.WriteOK {
 		if e.Outcome == protocol.WriteConflict {
-			s.at = now
-			s.dropSealing()
+			s.nextAt = now
+			s.expireSealing()
 			s.owns = s.owns && s.version.Generation < e.Version.Generation
 		}
 		s.current, s.sealing = false, nil
 		return
 	}
-	s.settleSealing()
-	s.head, s.version, s.restore = *s.next, e.Version, nil
-	for _, r := range s.flying {
+	s.commitSealing()
+	s.head, s.version, s.lostClaims = *s.next, e.Version, nil
+	for _, r := range s.inFlight {
 		if r.release {
-			if s.index[r.key] == r.mark() {
+			if s.index[r.key] == r.claimHash() {
 				delete(s.index, r.key)
 			}
 		} else {
-			s.index[r.key] = r.mark()
+			s.index[r.key] = r.claimHash()
 		}
 		s.answer(r, Granted)
 	}
-	s.flying, s.next = nil, nil
-	s.expired = append(s.expired, s.dropped...)
-	for _, ref := range s.dropped {
+	s.inFlight, s.next = nil, nil
+	s.expired = append(s.expired, s.expiring...)
+	for _, ref := range s.expiring {
 		for _, k := range s.sealed[ref.Name] {
 			delete(s.index, k)
 		}
 		delete(s.sealed, ref.Name)
 	}
-	s.dropped = nil
+	s.expiring = nil
 }
 
 // sealing is the segment that the write in flight creates.
 type sealing struct {
-	name   string
-	keys   []Key
-	merged []SegmentRef // segments that it replaces
+	name     string
+	keys     []Key
+	replaced []SegmentRef // segments that it replaces
 }
 
-// settleSealing records the segment of a write that took effect.
-func (s *Shard) settleSealing() {
+// commitSealing records the segment of a write that took effect.
+func (s *Shard) commitSealing() {
 	if s.sealing == nil {
 		return
 	}
 	s.sealed[s.sealing.name] = s.sealing.keys
-	for _, ref := range s.sealing.merged {
+	for _, ref := range s.sealing.replaced {
 		delete(s.sealed, ref.Name)
 		s.expired = append(s.expired, ref)
 	}
 	s.sealing = nil
 }
 
-// dropSealing expires the segment of a write that certainly had no effect.
-func (s *Shard) dropSealing() {
+// expireSealing expires the segment of a write that certainly had no effect.
+func (s *Shard) expireSealing() {
 	if s.sealing != nil {
 		s.expired = append(s.expired, SegmentRef{Name: s.sealing.name})
 	}
@@ -381,7 +381,7 @@
 // Ready returns the actions that are due now.
 func (s *Shard) Ready(now time.Time) Ready {
 	r := Ready{}
-	if !s.busy && !now.Before(s.at) && s.wants() {
+	if !s.busy && !now.Before(s.nextAt) && s.hasWork() {
 		if !s.current {
 			r.Read, s.busy = true, true
 			s.reads++
@@ -397,16 +397,16 @@
 // NextAt returns when Ready may next return a read or a write; zero if there is
 // nothing to read or write, or while a call is in flight.
 func (s *Shard) NextAt() time.Time {
-	if s.busy || !s.wants() {
+	if s.busy || !s.hasWork() {
 		return time.Time{}
 	}
-	return s.at
+	return s.nextAt
 }
 
-// wants reports whether there is something to read or write: requests, or claims that a restored
+// hasWork reports whether there is something to read or write: requests, or claims that a restored
 // platform may have lost.
-func (s *Shard) wants() bool {
-	return len(s.waiting)+len(s.flying)+len(s.restore) > 0 || s.stale
+func (s *Shard) hasWork() bool {
+	return len(s.waiting)+len(s.inFlight)+len(s.lostClaims) > 0 || s.stale
 }
 
 // write builds the next head from all waiting requests. It returns nil if there
@@ -416,7 +416,7 @@
 // of the head that index was built from, so no other daemon can have claimed
 // it in between.
 func (s *Shard) write(now time.Time) *Write {
-	next := Head{Open: append(slices.Clone(s.head.Open), s.restore...), Sealed: slices.Clone(s.head.Sealed)}
+	next := Head{Open: append(slices.Clone(s.head.Open), s.lostClaims...), Sealed: slices.Clone(s.head.Sealed)}
 	w := &Write{ExpectedVersion: s.version}
 	s.writes++
 	next.WriteID = fmt.Sprintf("%s-%d-%d", s.opt.Owner, now.UnixNano(), s.writes)
@@ -426,8 +426,8 @@
 	}
 	s.expire(now, &next)
 	s.takeWaiting(&next)
-	if len(s.flying)+len(s.restore) == 0 {
-		s.dropped = nil
+	if len(s.inFlight)+len(s.lostClaims) == 0 {
+		s.expiring = nil
 		return nil
 	}
 	s.next, s.busy, w.Head = &next, true, next
@@ -470,7 +470,7 @@
 		}
 		merged := SegmentRef{Name: s.segmentName(next), Level: level + 1}
 		seg := &Segment{}
-		s.sealing = &sealing{name: merged.Name, merged: old}
+		s.sealing = &sealing{name: merged.Name, replaced: old}
 		for _, ref := range old {
 			merged.Unix = max(merged.Unix, ref.Unix)
 			for _, k := range s.sealed[ref.Name] {
@@ -488,50 +488,50 @@
 
 func (s *Shard) expire(now time.Time, next *Head) {
 	oldest := now.Add(-s.opt.Retention).Unix()
-	s.dropped = nil
+	s.expiring = nil
 	next.Sealed = slices.DeleteFunc(next.Sealed, func(ref SegmentRef) bool {
 		if ref.Unix >= oldest {
 			return false
 		}
-		s.dropped = append(s.dropped, ref)
+		s.expiring = append(s.expiring, ref)
 		return true
 	})
 }
 
 func (s *Shard) takeWaiting(next *Head) {
 	inBatch := map[Key]bool{}
-	var later []request
+	var deferred []request
 	for _, r := range s.waiting {
-		holder, taken := s.index[r.key]
+		claimedBy, taken := s.index[r.key]
 		switch {
 		case inBatch[r.key]:
-			later = append(later, r)
+			deferred = append(deferred, r)
 		case r.release && !s.releasable(next, r):
 			s.answer(r, Unavailable)
 		case r.release:
 			next.Open = slices.DeleteFunc(next.Open, func(rec Record) bool { return rec == r.record() })
-			s.fly(r, inBatch)
-		case taken && holder == r.mark():
+			s.addInFlight(r, inBatch)
+		case taken && claimedBy == r.claimHash():
 			s.answer(r, Granted) // a repeated claim, or a claim whose write's response was lost
-		case taken && r.after < s.reads:
+		case taken && r.readsBefore < s.reads:
 			s.answer(r, Duplicate)
 		case taken:
 			// The index may be older than the request: another owner may
 			// have released the key. Only a read begun after the request
 			// arrived shows whether it has.
-			later = append(later, r)
+			deferred = append(deferred, r)
 			s.current = false
 		default:
 			next.Open = append(next.Open, r.record())
-			s.fly(r, inBatch)
+			s.addInFlight(r, inBatch)
 		}
 	}
-	s.waiting = later
+	s.waiting = deferred
 }
 
-func (s *Shard) fly(r request, inBatch map[Key]bool) {
+func (s *Shard) addInFlight(r request, inBatch map[Key]bool) {
 	inBatch[r.key] = true
-	s.flying = append(s.flying, r)
+	s.inFlight = append(s.inFlight, r)
 }
 
 // releasable reports whether r's claim is still an open record; a sealed claim
--- a/coordination/claims/restore_test.go
+++ b/coordination/claims/restore_test.go
@@ -68,11 +68,11 @@
 		carryOut(p, o, &now)
 		next := newOwner("b")
 		for i := range n {
-			for _, by := range []*owner{o, next} {
-				id := fmt.Sprint("again", i, by.s.opt.Owner)
-				by.s.Step(now, Claim{Key: MakeKey("c", "s", fmt.Sprint(i)), ClaimID: id})
-				if got := carryOut(p, by, &now); got[id] != Duplicate {
-					t.Fatalf("claim %d of %d at %s after the restore: got %v, want Duplicate", i, n, by.s.opt.Owner, got)
+			for _, claimant := range []*owner{o, next} {
+				id := fmt.Sprint("again", i, claimant.s.opt.Owner)
+				claimant.s.Step(now, Claim{Key: MakeKey("c", "s", fmt.Sprint(i)), ClaimID: id})
+				if got := carryOut(p, claimant, &now); got[id] != Duplicate {
+					t.Fatalf("claim %d of %d at %s after the restore: got %v, want Duplicate", i, n, claimant.s.opt.Owner, got)
 				}
 			}
 		}
