--- a/coordination/discovery/aside_test.go
+++ b/coordination/discovery/discarded_test.go
@@ -9,7 +9,7 @@
 )
 
 // Checks that answers older than the local view change nothing and are reported once, for the log.
-func TestOlderAnswersAreNamed(t *testing.T) {
+func TestStaleAnswersAreReportedOnce(t *testing.T) {
 	r := NewRegistry(testHeartbeat)
 	r.List(start, []*fleet.Endpoint{endpoint("a", 5, false), endpoint("b", 6, false)}, at(9), time.Time{})
 	if a := r.TakeDiscarded(); !a.Empty() {
--- a/coordination/discovery/discovery_test.go
+++ b/coordination/discovery/discovery_test.go
@@ -58,7 +58,7 @@
 	}
 }
 
-func TestRemovedEndpointIsGoneAtOnce(t *testing.T) {
+func TestRemovedEndpointIsDroppedAtOnce(t *testing.T) {
 	r := NewRegistry(testHeartbeat)
 	r.List(start, []*fleet.Endpoint{endpoint("a", 1, false)}, at(1), time.Time{})
 	r.Remove(start, "a", at(2), time.Time{})
@@ -84,7 +84,7 @@
 	}
 }
 
-func TestLapsedEntryComesBack(t *testing.T) {
+func TestLapsedEntryReturns(t *testing.T) {
 	r := NewRegistry(testHeartbeat)
 	r.List(start, []*fleet.Endpoint{endpoint("a", 1, false)}, at(1), time.Time{})
 	r.List(start, nil, at(5), start.Add(grace))
--- a/coordination/discovery/follow.go
+++ b/coordination/discovery/follow.go
@@ -76,23 +76,23 @@
 // the first list.
 func (f *Follower) AsOf() time.Time { return f.asOf }
 
-// Listed reports a whole list as of a version. The list counts as of asked, the
+// Listed reports a whole list as of a version. The list counts as of requestedAt, the
 // time of the request.
-func (f *Follower) Listed(asked, now time.Time, version storeversion.Version) {
+func (f *Follower) Listed(requestedAt, now time.Time, version storeversion.Version) {
 	f.since = version
-	f.succeeded(asked, now)
+	f.succeeded(requestedAt, now)
 }
 
 // Watched reports the answer to a watch that was asked to wait for the time wait.
 // changed reports whether the answer holds changes. If it holds none and took the
 // whole wait, nothing changed during the wait, and the answer counts as of the end
-// of the wait. Otherwise it counts as of asked, as it is unknown how long the
+// of the wait. Otherwise it counts as of requestedAt, as it is unknown how long the
 // answer was in transit.
-func (f *Follower) Watched(asked, now time.Time, wait time.Duration, version storeversion.Version, changed bool) {
+func (f *Follower) Watched(requestedAt, now time.Time, wait time.Duration, version storeversion.Version, changed bool) {
 	f.since = storeversion.Max(f.since, version)
-	asOf := asked
-	if !changed && now.Sub(asked) >= wait {
-		asOf = asked.Add(wait)
+	asOf := requestedAt
+	if !changed && now.Sub(requestedAt) >= wait {
+		asOf = requestedAt.Add(wait)
 	}
 	f.succeeded(asOf, now)
 	if changed {
--- a/coordination/discovery/outage.go
+++ b/coordination/discovery/outage.go
@@ -7,7 +7,7 @@
 	// must last before an entry can lapse in it: entries lapse after three missed
 	// heartbeats, and the last heartbeat may have arrived a whole interval before
 	// the outage.
-	lapseBeats = 2
+	minLapseHeartbeats = 2
 	// outageFailures is the number of calls in a row that must fail before an
 	// outage is assumed: a single failure can also come from a saturated link or
 	// a broken connection.
@@ -46,7 +46,7 @@
 // zero if never. failures is the number of this daemon's own calls that had failed
 // in a row: a link that is only saturated delays answers and rarely loses two.
 func (o *Outage) ObserveAnswer(now, seen time.Time, failures int) {
-	if failures >= outageFailures && !seen.IsZero() && now.Sub(seen) >= lapseBeats*o.heartbeat {
+	if failures >= outageFailures && !seen.IsZero() && now.Sub(seen) >= minLapseHeartbeats*o.heartbeat {
 		o.until = now.Add(lapseGrace)
 	}
 }
--- a/coordination/discovery/outage_test.go
+++ b/coordination/discovery/outage_test.go
@@ -10,9 +10,9 @@
 func TestOnlyAnOutageKeepsMissingEntries(t *testing.T) {
 	const heartbeat = 1200 * time.Millisecond
 	for name, c := range map[string]struct {
-		unheard  time.Duration // age of the store's last answer, to this daemon or one that it copies from; 0: none
-		failures int
-		grace    bool
+		answerAge time.Duration // age of the store's last answer, to this daemon or one that it copies from; 0: none
+		failures  int
+		grace     bool
 	}{
 		"one failed call":                           {3 * heartbeat, 1, false},
 		"failed calls, but others reach the store":  {heartbeat, 5, false},
@@ -23,8 +23,8 @@
 	} {
 		o := NewOutage(heartbeat)
 		seen := time.Time{}
-		if c.unheard > 0 {
-			seen = start.Add(-c.unheard)
+		if c.answerAge > 0 {
+			seen = start.Add(-c.answerAge)
 		}
 		o.ObserveAnswer(start, seen, c.failures)
 		if got := o.GraceUntil().After(start); got != c.grace {
@@ -60,23 +60,23 @@
 func TestAgeCountsFromTheQuestion(t *testing.T) {
 	const wait, late = 900 * time.Millisecond, 700 * time.Millisecond
 	f := NewFollower(FollowOptions{})
-	asked := start
-	f.Listed(asked, asked.Add(late), at(1))
-	if got := f.AsOf(); got != asked {
-		t.Errorf("a late list counts as of %v after its request, want 0", got.Sub(asked))
+	requestedAt := start
+	f.Listed(requestedAt, requestedAt.Add(late), at(1))
+	if got := f.AsOf(); got != requestedAt {
+		t.Errorf("a late list counts as of %v after its request, want 0", got.Sub(requestedAt))
 	}
-	asked = start.Add(time.Second)
-	f.Watched(asked, asked.Add(wait+late), wait, at(1), false)
-	if got := f.AsOf(); got != asked.Add(wait) {
-		t.Errorf("a watch without changes counts as of %v after its request, want its wait", got.Sub(asked))
+	requestedAt = start.Add(time.Second)
+	f.Watched(requestedAt, requestedAt.Add(wait+late), wait, at(1), false)
+	if got := f.AsOf(); got != requestedAt.Add(wait) {
+		t.Errorf("a watch without changes counts as of %v after its request, want its wait", got.Sub(requestedAt))
 	}
-	asked = start.Add(10 * time.Second)
-	f.Watched(asked, asked.Add(wait/2), wait, at(2), true)
-	if got := f.AsOf(); got != asked {
-		t.Errorf("a watch with changes counts as of %v after its request, want 0", got.Sub(asked))
+	requestedAt = start.Add(10 * time.Second)
+	f.Watched(requestedAt, requestedAt.Add(wait/2), wait, at(2), true)
+	if got := f.AsOf(); got != requestedAt {
+		t.Errorf("a watch with changes counts as of %v after its request, want 0", got.Sub(requestedAt))
 	}
-	f.Watched(asked.Add(-time.Second), asked, wait, at(2), true)
-	if got := f.AsOf(); got != asked {
+	f.Watched(requestedAt.Add(-time.Second), requestedAt, wait, at(2), true)
+	if got := f.AsOf(); got != requestedAt {
 		t.Error("AsOf went back after the answer to an earlier request")
 	}
 }
--- a/coordination/discovery/registry.go
+++ b/coordination/discovery/registry.go
@@ -28,16 +28,16 @@
 	revived   map[string]*revival // removed, and listed again by a restored store
 	// leaving holds, by id, the incarnations that are leaving by their own report or by an entry that
 	// was removed.
-	leaving map[string]fleet.Incarnation
-	version storeversion.Version
-	changed bool
-	aside   Discarded
+	leaving   map[string]fleet.Incarnation
+	version   storeversion.Version
+	changed   bool
+	discarded Discarded
 }
 
 // removal is the last known removal of an id.
 type removal struct {
-	at   storeversion.Version
-	life fleet.Incarnation
+	at          storeversion.Version
+	incarnation fleet.Incarnation
 }
 
 // revival is an entry that was removed and that a restored store lists again.
@@ -86,13 +86,13 @@
 
 // maxLapseHeartbeats is the number of heartbeats after which the store has dropped the entry of a
 // dead endpoint: it drops entries that have missed three.
-const lapseBeatsMost = 4
+const maxLapseHeartbeats = 4
 
 // maxRemoved bounds the number of removed ids that are remembered, and maxLeaving that of leaving
 // incarnations.
 const (
 	maxRemoved = 4096
-	maxLeft    = 4096
+	maxLeaving = 4096
 )
 
 // NewRegistry returns an empty registry. heartbeat is the time between two heartbeats of an endpoint.
@@ -109,15 +109,15 @@
 // list that is older than the registry.
 func (r *Registry) List(now time.Time, list []*fleet.Endpoint, version storeversion.Version, graceUntil time.Time) (kept []string) {
 	if version.Before(r.version) {
-		r.aside.Lists++
+		r.discarded.Lists++
 		return nil
 	}
 	r.version = version
 	present := make(map[string]bool, len(list))
 	for _, e := range list {
 		present[e.ID] = true
-		if back := r.revived[e.ID]; back != nil && back.outlasted(now) {
-			r.enter(r.withOwnWord(e))
+		if held := r.revived[e.ID]; held != nil && held.wouldHaveLapsed(now) {
+			r.add(r.withLeaving(e))
 			continue
 		}
 		r.put(e)
@@ -140,23 +140,23 @@
 }
 
 func (r *Registry) put(e *fleet.Endpoint) {
-	e = r.withOwnWord(e)
-	if gone, ok := r.removed[e.ID]; ok {
-		if !e.Version.After(gone.at) {
-			r.setAside(e.ID)
+	e = r.withLeaving(e)
+	if removed, ok := r.removed[e.ID]; ok {
+		if !e.Version.After(removed.at) {
+			r.discard(e.ID)
 			return
 		}
-		if r.mayBeOfTheCopy(e, gone) {
+		if r.mayBeFromCopy(e, removed) {
 			return
 		}
 	}
 	old := r.entries[e.ID]
 	if old == nil {
-		r.enter(e)
+		r.add(e)
 		return
 	}
 	if e.Incarnation().Before(old.endpoint.Incarnation()) {
-		r.setAside(e.ID)
+		r.discard(e.ID)
 		return
 	}
 	if old.endpoint.Incarnation().Before(e.Incarnation()) {
@@ -165,11 +165,11 @@
 		return
 	}
 	old.missingUntil = time.Time{}
-	back := old.endpoint.Missing && e.Version == old.endpoint.Version
+	returned := old.endpoint.Missing && e.Version == old.endpoint.Version
 	if e.Version.Before(old.endpoint.Version) {
-		r.setAside(e.ID)
+		r.discard(e.ID)
 	}
-	if !e.Version.After(old.endpoint.Version) && !back {
+	if !e.Version.After(old.endpoint.Version) && !returned {
 		return
 	}
 	if old.endpoint.Leaving && !e.Leaving {
@@ -182,12 +182,12 @@
 }
 
 // wouldHaveLapsed reports whether the entry of a dead endpoint would have lapsed by now.
-func (b *revival) outlasted(now time.Time) bool {
+func (b *revival) wouldHaveLapsed(now time.Time) bool {
 	return !b.earlier && !b.until.IsZero() && !now.Before(b.until)
 }
 
-// enter adds the description of an unknown endpoint.
-func (r *Registry) enter(e *fleet.Endpoint) {
+// add adds the description of an unknown endpoint.
+func (r *Registry) add(e *fleet.Endpoint) {
 	delete(r.removed, e.ID)
 	delete(r.revived, e.ID)
 	r.entries[e.ID] = &entry{endpoint: e}
@@ -197,18 +197,18 @@
 // mayBeFromCopy reports whether a restored store may list an endpoint only because its copy is older
 // than the removal: the generation is later, the incarnation is not later, and the entry has not been
 // written since the restored store first listed it. Such an entry is held back.
-func (r *Registry) mayBeOfTheCopy(e *fleet.Endpoint, gone removal) bool {
-	if e.Version.Generation == gone.at.Generation || gone.life.Before(e.Incarnation()) {
+func (r *Registry) mayBeFromCopy(e *fleet.Endpoint, removed removal) bool {
+	if e.Version.Generation == removed.at.Generation || removed.incarnation.Before(e.Incarnation()) {
 		return false
 	}
 	known := r.revived[e.ID]
 	switch {
 	case known == nil || known.first.Generation != e.Version.Generation:
-		r.revived[e.ID] = &revival{endpoint: e, first: e.Version, earlier: e.Incarnation().Before(gone.life)}
+		r.revived[e.ID] = &revival{endpoint: e, first: e.Version, earlier: e.Incarnation().Before(removed.incarnation)}
 	case e.Version.After(known.first):
 		return false
 	}
-	r.setAside(e.ID)
+	r.discard(e.ID)
 	return true
 }
 
@@ -224,19 +224,19 @@
 		return nil
 	}
 	if version.Before(en.endpoint.Version) {
-		r.setAside(id)
+		r.discard(id)
 		return nil
 	}
 	return r.missing(now, id, en, version, graceUntil)
 }
 
 // discard records a description or removal that was discarded as stale.
-func (r *Registry) setAside(id string) { r.aside.Endpoints = append(r.aside.Endpoints, id) }
+func (r *Registry) discard(id string) { r.discarded.Endpoints = append(r.discarded.Endpoints, id) }
 
 // TakeDiscarded returns the input discarded since the last call.
 func (r *Registry) TakeDiscarded() Discarded {
-	a := r.aside
-	r.aside = Discarded{}
+	a := r.discarded
+	r.discarded = Discarded{}
 	return a
 }
 
@@ -280,42 +280,42 @@
 }
 
 func (r *Registry) drop(id string, version storeversion.Version) {
-	gone := r.entries[id].endpoint
+	dropped := r.entries[id].endpoint
 	delete(r.entries, id)
 	if len(r.removed) >= maxRemoved {
 		clear(r.removed)
 	}
-	r.removed[id] = removal{version, gone.Incarnation()}
-	if gone.Leaving && gone.StartUnixMs != 0 {
-		r.remember(gone.Incarnation())
+	r.removed[id] = removal{version, dropped.Incarnation()}
+	if dropped.Leaving && dropped.StartUnixMs != 0 {
+		r.rememberLeaving(dropped.Incarnation())
 	}
 	r.changed = true
 }
 
 // MarkLeaving marks an incarnation as leaving, as it has reported itself, whether the store lists
 // it now or later.
-func (r *Registry) MarkLeaving(life fleet.Incarnation) {
-	r.remember(life)
-	en := r.entries[life.ID]
+func (r *Registry) MarkLeaving(inc fleet.Incarnation) {
+	r.rememberLeaving(inc)
+	en := r.entries[inc.ID]
 	if en == nil {
 		return
 	}
-	if marked := r.withOwnWord(en.endpoint); marked != en.endpoint {
+	if marked := r.withLeaving(en.endpoint); marked != en.endpoint {
 		en.endpoint = marked
 		r.changed = true
 	}
 }
 
 // rememberLeaving records that an incarnation is leaving.
-func (r *Registry) remember(life fleet.Incarnation) {
-	if known := r.leaving[life.ID]; known.StartUnixMs == 0 || known.Before(life) {
-		r.forgetLeft()
-		r.leaving[life.ID] = life
+func (r *Registry) rememberLeaving(inc fleet.Incarnation) {
+	if known := r.leaving[inc.ID]; known.StartUnixMs == 0 || known.Before(inc) {
+		r.pruneLeaving()
+		r.leaving[inc.ID] = inc
 	}
 }
 
 // withLeaving returns the description, marked as leaving if its incarnation is known to leave.
-func (r *Registry) withOwnWord(e *fleet.Endpoint) *fleet.Endpoint {
+func (r *Registry) withLeaving(e *fleet.Endpoint) *fleet.Endpoint {
 	left, ok := r.leaving[e.ID]
 	if !ok || e.Leaving || !left.Matches(e.Incarnation()) {
 		return e
@@ -326,8 +326,8 @@
 }
 
 // pruneLeaving makes room for one more leaving incarnation: it drops those without an entry.
-func (r *Registry) forgetLeft() {
-	if len(r.leaving) < maxLeft {
+func (r *Registry) pruneLeaving() {
+	if len(r.leaving) < maxLeaving {
 		return
 	}
 	maps.DeleteFunc(r.leaving, func(id string, _ fleet.Incarnation) bool { return r.entries[id] == nil })
@@ -341,9 +341,9 @@
 			r.drop(id, r.version)
 		}
 	}
-	for _, back := range r.revived {
-		if back.until.IsZero() {
-			back.until = now.Add(lapseBeatsMost * r.heartbeat)
+	for _, held := range r.revived {
+		if held.until.IsZero() {
+			held.until = now.Add(maxLapseHeartbeats * r.heartbeat)
 		}
 	}
 }
@@ -351,8 +351,8 @@
 // WantsList reports whether a whole list is needed to find out which of the endpoints that were held
 // back after a restore are alive: the entries of dead ones have lapsed by now.
 func (r *Registry) WantsList(now time.Time) bool {
-	for _, back := range r.revived {
-		if back.outlasted(now) {
+	for _, held := range r.revived {
+		if held.wouldHaveLapsed(now) {
 			return true
 		}
 	}
@@ -362,8 +362,8 @@
 // ExpiryPending reports whether entries are in their grace or held back after a restore, so that
 // Expire and WantsList must be called soon.
 func (r *Registry) ExpiryPending() bool {
-	for _, back := range r.revived {
-		if !back.earlier {
+	for _, held := range r.revived {
+		if !held.earlier {
 			return true
 		}
 	}
--- a/coordination/discovery/restore_test.go
+++ b/coordination/discovery/restore_test.go
@@ -39,8 +39,8 @@
 	if !usable(r, "new") {
 		t.Fatal("an answer from before the restore changed the registry")
 	}
-	if aside := r.TakeDiscarded(); aside.Lists != 1 || len(aside.Endpoints) != 1 {
-		t.Fatalf("discarded %+v, want one list and one description", aside)
+	if discarded := r.TakeDiscarded(); discarded.Lists != 1 || len(discarded.Endpoints) != 1 {
+		t.Fatalf("discarded %+v, want one list and one description", discarded)
 	}
 }
 
@@ -100,7 +100,7 @@
 		t.Fatal("the endpoint is used after its entry lapsed")
 	}
 	r = begin()
-	later := start.Add(lapseBeatsMost * testHeartbeat)
+	later := start.Add(maxLapseHeartbeats * testHeartbeat)
 	if r.WantsList(later.Add(-time.Millisecond)) || !r.WantsList(later) {
 		t.Fatal("a list is requested before dead entries have lapsed, or never")
 	}
