--- a/coordination/membership/membership.go
+++ b/coordination/membership/membership.go
@@ -1,9 +1,12 @@
-// Package membership keeps each daemon's view of the others and spreads small
-// facts among them: a probe of one random member a period, indirect probes
-// before a suspicion, and changed entries carried on probes and on immediate
-// gossip to a few members. Nothing that must be agreed hangs on the view. The
-// package is a state machine without I/O; its cost for a daemon does not grow
-// with the number of members while nothing changes.
+// Package membership is a gossip failure detector: it keeps each daemon's view
+// of the other daemons and spreads small facts among them. Each period, a daemon
+// probes one random member; it uses indirect probes before it suspects a member.
+// Changed entries travel on probes and on immediate gossip to a few members. The
+// views of daemons may differ, so nothing that needs agreement depends on them.
+//
+// Machine is a state machine without I/O: callers pass events and the time, and
+// carry out the actions that Ready returns. While nothing changes, its cost for a
+// daemon does not grow with the number of members.
 package membership
 
 import (
@@ -18,11 +21,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Status of a member as the others see it.
+// Status is the state of a member in the view of a daemon.
 type Status string
 
-// The statuses, in the order in which they override each other within one
-// incarnation.
+// The statuses of a member. Within one incarnation, a later status of this list
+// overrides an earlier one.
 const (
 	Alive   Status = "alive"
 	Suspect Status = "suspect"
@@ -31,9 +34,10 @@
 
 var statusRank = map[Status]uint64{Alive: 0, Suspect: 1, Dead: 2}
 
-// Member is what a daemon tells of itself, with the others' view of it.
+// Member describes a daemon: what it announces of itself, and its status in the
+// view of the others.
 type Member struct {
-	ID            string `json:"id"` // of this process, not of its host
+	ID            string `json:"id"` // of the process, not of its host
 	Host          string `json:"host"`
 	PeerAddress   string `json:"peer"`
 	CallerAddress string `json:"caller"`
@@ -42,21 +46,22 @@
 	Status        Status `json:"status"`
 	Leaving       bool   `json:"leaving,omitempty"`
 	Incarnation   uint64 `json:"incarnation"`
-	Generation    uint64 `json:"generation"` // of the bundle in force there
-	Load          int    `json:"load"`       // 0 idle to 3 full
-	// Capacity is what its host gives the daemon, in thousandths of a core; zero where
-	// it does not know.
+	Generation    uint64 `json:"generation"` // of the bundle in force at the daemon
+	Load          int    `json:"load"`       // from 0, idle, to 3, full
+	// Capacity is the CPU capacity that its host gives the daemon, in thousandths of a core;
+	// zero if unknown.
 	Capacity int `json:"capacity,omitempty"`
 }
 
-// Entry is one gossiped item; the higher version wins.
+// Entry is one gossiped item; of two entries with a key, the higher version wins.
 type Entry struct {
 	Key     string
 	Version uint64
 	Value   []byte
 }
 
-// MemberPrefix starts the keys of members; other keys are free for facts.
+// MemberPrefix is the prefix of the keys of members; all other keys are those of
+// facts.
 const MemberPrefix = "m/"
 
 const versionStatusBits = 2
@@ -68,20 +73,21 @@
 
 // Options configure a Machine.
 type Options struct {
-	Period       time.Duration // between two probes
-	ProbeTimeout time.Duration // before indirect probes, and again before a suspicion
-	SuspectFor   time.Duration // before a suspect is dead
-	DeadFor      time.Duration // before a dead member is forgotten
-	Fanout       int           // members told at once of a change
-	MaxPiggyback int           // entries on one message
-	QuietPeriod  time.Duration // quiet time before differing digests cause a full exchange
+	Period       time.Duration // time between two probes
+	ProbeTimeout time.Duration // time before indirect probes, and again before a suspicion
+	SuspectFor   time.Duration // time before a suspect member counts as dead
+	DeadFor      time.Duration // time before a dead member is dropped
+	Fanout       int           // number of members that get a change at once
+	MaxPiggyback int           // maximum number of entries on one message
+	QuietPeriod  time.Duration // time without changes before differing digests cause a full exchange
 	Seed         uint64
-	// Stale reports whether a fact is too old to be kept or learned; nil: none is. All
-	// members must come to the same answer within seconds, or they tell each other for ever.
+	// Stale reports whether a fact is too old to be kept or learned; if nil, no fact is. All
+	// members must reach the same result within seconds. Otherwise those that still hold the
+	// fact send it to those that have dropped it, without end.
 	Stale func(now time.Time, e Entry) bool
 }
 
-// DefaultOptions are the daemon's settings.
+// DefaultOptions returns the settings of a daemon.
 func DefaultOptions(seed uint64) Options {
 	return Options{
 		Period: time.Second, ProbeTimeout: 500 * time.Millisecond, SuspectFor: 3 * time.Second,
@@ -89,29 +95,29 @@
 	}
 }
 
-// Message is gossip to one member.
+// Message is a gossip message to one member.
 type Message struct {
 	To      Member
 	Digest  uint64
 	Entries []Entry
 	Full    bool
-	Probe   bool // its answer counts as a sign of life
+	Probe   bool // an answer shows that the member is alive
 }
 
-// Indirect asks a member to probe another.
+// IndirectProbe is a request to the member Via to probe Target.
 type IndirectProbe struct{ Via, Target Member }
 
-// Ready is what the caller has to do now.
+// Ready holds the actions that the caller must carry out now.
 type Ready struct {
 	Messages       []Message
 	IndirectProbes []IndirectProbe
-	Facts          []Entry // that were learned
+	Facts          []Entry // newly learned facts
 }
 
 type entry struct {
 	Entry
 	member    *Member // for members
-	sends     int     // piggybacks left
+	sends     int     // remaining piggybacked sends
 	changedAt time.Time
 }
 
@@ -125,7 +131,7 @@
 	indirect bool
 }
 
-// Machine is one daemon's view.
+// Machine is one daemon's view. It is not safe for concurrent use.
 type Machine struct {
 	opt      Options
 	rng      *rand.Rand
@@ -135,21 +141,21 @@
 	probing  *probe
 	nextAt   time.Time
 	lastNews time.Time
-	urgent   bool // there are entries to tell at once
-	fullTo   []string
-	facts    []Entry   // learned and not handed out yet
-	staleAt  time.Time // when stale facts were looked for last
+	urgent   bool      // there are entries to send at once
+	fullTo   []string  // members to send a full exchange to
+	facts    []Entry   // learned facts that Ready has not returned yet
+	staleAt  time.Time // time of the last check for stale facts
 	repeats  map[string]*repeat
 	digest   uint64
-	hot      map[string]bool // keys of entries with sends left
+	hot      map[string]bool // keys of entries with remaining sends
 	aging    map[string]bool // keys of suspect and dead members
 	revision uint64
 }
 
-// New returns a view that holds only self. What is random hangs on the seed and
-// on the member's id: daemons that start at the same moment with a seed of the
-// clock would otherwise probe the same members at the same time, and one that
-// dies would not be probed by any of them for many seconds.
+// New returns a view that holds only self. Its random choices depend on the seed
+// and on the member's id: otherwise daemons that start at the same moment, with
+// seeds from the clock, would probe the same members at the same time, and a
+// member that dies would not be probed by any of them for many seconds.
 func New(opt Options, self Member, now time.Time) *Machine {
 	self.Status = Alive
 	m := &Machine{opt: opt, rng: rand.New(rand.NewPCG(opt.Seed, xxhash.Sum64String(self.ID))), self: self,
@@ -159,13 +165,13 @@
 	return m
 }
 
-// Revision rises with each change of the view.
+// Revision returns a number that increases with each change of the view.
 func (m *Machine) Revision() uint64 { return m.revision }
 
 // Self returns this daemon's own record.
 func (m *Machine) Self() Member { return m.self }
 
-// Members returns the members that are not dead, ordered by id.
+// Members returns the members that are not dead, sorted by id.
 func (m *Machine) Members() []Member {
 	var list []Member
 	for _, e := range m.entries {
@@ -177,7 +183,7 @@
 	return list
 }
 
-// Get returns a fact.
+// Get returns the fact with a key.
 func (m *Machine) Get(key string) (Entry, bool) {
 	e, ok := m.entries[key]
 	if !ok {
@@ -186,7 +192,7 @@
 	return e.Entry, true
 }
 
-// Facts returns the facts whose keys begin with a prefix, by key.
+// Facts returns the facts whose keys begin with a prefix, sorted by key.
 func (m *Machine) Facts(prefix string) []Entry {
 	var list []Entry
 	for key, e := range m.entries {
@@ -198,10 +204,11 @@
 	return list
 }
 
-// Set offers a fact; it is taken if its version is higher than the known one.
+// Set publishes a fact and reports whether it was taken: its version must be higher
+// than the known one, and the fact must not be stale.
 func (m *Machine) Set(now time.Time, e Entry) bool { return m.put(now, e) }
 
-// Update changes this daemon's own record and tells the others.
+// Update changes this daemon's own record and announces it to the others.
 func (m *Machine) Update(now time.Time, change func(*Member)) {
 	next := m.self
 	change(&next)
@@ -210,17 +217,18 @@
 	m.put(now, memberEntry(next))
 }
 
-// Digest covers all entries of members that are not dead and all facts.
+// Digest returns a hash of all facts and of the entries of all members that are
+// not dead.
 func (m *Machine) Digest() uint64 { return m.digest }
 
-// mix adds an entry to the digest, or takes it out again.
+// mix adds an entry to the digest, or removes it when called a second time.
 func (m *Machine) mix(e *entry) {
 	if e != nil && !e.dead() {
 		m.digest ^= xxhash.Sum64String(e.Key) * (2*e.Version + 1)
 	}
 }
 
-// store replaces an entry and keeps what is derived from it.
+// store replaces an entry and updates the digest and the indexes.
 func (m *Machine) store(e *entry) {
 	m.drop(e.Key)
 	m.entries[e.Key] = e
@@ -234,16 +242,17 @@
 	m.revision++
 }
 
-// heardAgain spreads an entry less the more often others tell of it, so that
-// news that most know by now costs little. The last send is kept: each member
-// tells once more at its next probe, in case the first gossip missed somebody.
+// observeDuplicate reduces the remaining sends of an entry that another member has
+// sent too, so that an entry that most members know costs little. The last send
+// remains: each member sends the entry once more with its next probe, in case the
+// first gossip missed a member.
 func (m *Machine) heardAgain(e *entry) {
 	if e.sends > 1 {
 		e.sends--
 	}
 }
 
-// told counts one send.
+// countSend counts one send of an entry.
 func (m *Machine) told(e *entry) {
 	if e.sends--; e.sends == 0 {
 		delete(m.hot, e.Key)
@@ -251,20 +260,21 @@
 }
 
 const (
-	// factRounds is how often a fact is told at once to some members, and factPause the pause
-	// between two rounds. One round misses one member in twenty, who would hear of it with a
-	// probe, seconds later where there are hundreds; three miss one in ten thousand.
+	// factRounds is the number of rounds in which a fact is sent at once to some members, and
+	// factPause the pause between two rounds. One round misses one member in twenty, which would
+	// receive the fact only with a probe, seconds later if there are hundreds of members; three
+	// rounds miss one member in ten thousand.
 	factRounds = 3
 	factPause  = 200 * time.Millisecond
 )
 
-// repeat is what is left to tell of a fact.
+// repeat holds the remaining rounds of a fact.
 type repeat struct {
 	left int
 	at   time.Time // of the next round
 }
 
-// repeatFacts makes facts urgent again whose next round is due.
+// repeatFacts marks the facts whose next round is due for sending at once.
 func (m *Machine) repeatFacts(now time.Time) {
 	for key, r := range m.repeats {
 		if now.Before(r.at) {
@@ -291,11 +301,12 @@
 	delete(m.hot, key)
 }
 
-// put takes an entry if it is news.
+// put is learn for an entry that other members may not know yet.
 func (m *Machine) put(now time.Time, e Entry) bool { return m.learn(now, e, true) }
 
-// learn takes an entry if it is news. tell says that others may not know it
-// yet; the answer to a full exchange holds what the others know already.
+// learn stores an entry that is newer than the known one and reports whether it
+// did. If spread is set, the entry is sent on, as other members may not know it
+// yet; the others already know the entries in the answer to a full exchange.
 func (m *Machine) learn(now time.Time, e Entry, tell bool) bool {
 	old := m.entries[e.Key]
 	if old != nil && old.Version >= e.Version {
@@ -315,7 +326,7 @@
 			return true
 		}
 		if old == nil && member.Status == Dead {
-			return false // already forgotten here
+			return false // unknown here, or dropped already
 		}
 		next.member = &member
 		if old == nil {
@@ -339,7 +350,8 @@
 	return true
 }
 
-// refute answers a suspicion of this daemon itself.
+// refute announces this daemon with a higher incarnation than that of a received
+// entry, which names it suspect or dead, or has an incarnation above its own.
 func (m *Machine) refute(now time.Time, seen Member) {
 	m.self.Incarnation = max(m.self.Incarnation, seen.Incarnation) + 1
 	m.put(now, memberEntry(m.self))
@@ -349,7 +361,8 @@
 	return 3 * int(math.Ceil(math.Log2(float64(len(m.entries)+2))))
 }
 
-// Receive takes another daemon's gossip and returns the answer.
+// Receive processes a gossip message of another daemon and returns the entries of
+// the answer: all entries for a full exchange, else those piggybacked.
 func (m *Machine) Receive(now time.Time, from string, digest uint64, entries []Entry, full bool) []Entry {
 	for _, e := range entries {
 		m.put(now, e)
@@ -361,8 +374,8 @@
 	return m.piggyback()
 }
 
-// Answer takes the answer to a message.
-// full says that the message was a full exchange.
+// Answer processes the answer to a message; ok is false if there was none. full is
+// set if the message was a full exchange.
 func (m *Machine) Answer(now time.Time, from string, ok bool, digest uint64, entries []Entry, full bool) {
 	if !ok {
 		return
@@ -376,15 +389,15 @@
 	m.compare(now, from, digest)
 }
 
-// IndirectAnswer takes the answer to an indirect probe.
+// IndirectAnswer processes the answer to an indirect probe.
 func (m *Machine) IndirectAnswer(target string, alive bool) {
 	if alive && m.probing != nil && m.probing.target == target {
 		m.probing = nil
 	}
 }
 
-// compare asks for a full exchange when the digests still differ after a
-// quiet time; while news travels they differ all the time.
+// compare schedules a full exchange if the digests still differ after a time
+// without changes; while changes spread, digests differ all the time.
 func (m *Machine) compare(now time.Time, from string, digest uint64) {
 	if digest != m.Digest() && now.Sub(m.lastNews) >= m.opt.QuietPeriod && !slices.Contains(m.fullTo, from) {
 		m.fullTo = append(m.fullTo, from)
@@ -401,7 +414,8 @@
 	return list
 }
 
-// piggyback picks the entries with most sends left.
+// piggyback returns the entries with the most remaining sends, and counts the
+// send.
 func (m *Machine) piggyback() []Entry {
 	var hot []*entry
 	for key := range m.hot {
@@ -419,12 +433,12 @@
 	return list
 }
 
-// Join asks a seed for its whole state.
+// Join returns a message that asks a seed for its whole state.
 func (m *Machine) Join(peerAddress string) Message {
 	return Message{To: Member{PeerAddress: peerAddress}, Digest: m.Digest(), Entries: m.all(), Full: true}
 }
 
-// Ready passes time on and returns what to send.
+// Ready passes the time and returns the messages to send and the facts learned.
 func (m *Machine) Ready(now time.Time) Ready {
 	var r Ready
 	m.expire(now)
@@ -439,7 +453,7 @@
 	for _, id := range m.fullTo {
 		if e := m.entries[MemberPrefix+id]; e != nil && e.member.Status != Dead {
 			r.Messages = append(r.Messages, Message{To: *e.member, Digest: m.Digest(), Entries: m.all(), Full: true})
-			m.lastNews = now // one full exchange a quiet time
+			m.lastNews = now // at most one full exchange per quiet period
 		}
 	}
 	m.fullTo = nil
@@ -486,7 +500,8 @@
 	m.put(now, memberEntry(member))
 }
 
-// expire turns suspects into dead members and forgets the dead.
+// expire marks members dead that have been suspect for SuspectFor, and drops
+// members that have been dead for DeadFor.
 func (m *Machine) expire(now time.Time) {
 	for key := range m.aging {
 		e := m.entries[key]
@@ -501,7 +516,7 @@
 	m.dropStale(now)
 }
 
-// staleEvery is the pause between two looks for stale facts.
+// staleEvery is the time between two checks for stale facts.
 const staleEvery = time.Second
 
 func (m *Machine) dropStale(now time.Time) {
@@ -527,16 +542,17 @@
 	return slices.DeleteFunc(m.Members(), func(o Member) bool { return o.ID == m.self.ID })
 }
 
-// probeInThisRound puts a new member among those that are still to be probed in
-// this round: one that dies soon after it came would else not be probed by anybody
-// before the next round, which is as many seconds away as there are members.
+// probeInThisRound adds a new member at a random place of the members still to be
+// probed in this round. Otherwise no daemon would probe a member that dies soon after
+// it joined before the next round, and a round takes as many periods as there are
+// members.
 func (m *Machine) probeInThisRound(id string) {
 	if id != m.self.ID && len(m.order) > 0 {
 		m.order = slices.Insert(m.order, m.rng.IntN(len(m.order)+1), id)
 	}
 }
 
-// nextTarget goes round all members in a random order, so that the longest
+// nextTarget iterates over all members in a random order, so that the longest
 // time without a probe is bounded.
 func (m *Machine) nextTarget() (Member, bool) {
 	for range 2 {
--- a/coordination/membership/membership_test.go
+++ b/coordination/membership/membership_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// network delivers messages between machines in virtual time, with one tick of
-// delay, and counts them.
+// network delivers messages between machines in virtual time, with a delay of
+// one tick, and counts them.
 type network struct {
 	now      time.Time
 	machines map[string]*Machine
@@ -47,14 +47,14 @@
 }
 
 func size(entries []Entry) int {
-	n := 40 // the call itself, without HTTP's headers
+	n := 40 // the call itself, without HTTP headers
 	for _, e := range entries {
 		n += len(e.Key) + len(e.Value) + 12
 	}
 	return n
 }
 
-// step passes one tick on everywhere.
+// step advances all machines by one tick.
 func (w *network) step() {
 	w.now = w.now.Add(tick)
 	for i := range len(w.machines) {
@@ -89,7 +89,8 @@
 	}
 }
 
-// until returns the time until f holds for every machine that is not cut off.
+// until runs until f holds for every machine that is not cut off, at most for limit. It
+// returns the time that this took, and whether f holds.
 func (w *network) until(limit time.Duration, f func(*Machine) bool) (time.Duration, bool) {
 	begin := w.now
 	for w.now.Sub(begin) < limit {
@@ -105,9 +106,10 @@
 	return limit, false
 }
 
-// Pattern: a daemon comes to 69 others, in the middle of their round of probes,
-// and loses power soon afterwards. Figures: the grown users' site, where all start
-// within a second and those that are known last were probed by nobody for 21 s.
+// Guards against a new member that nobody probes until the next round: a daemon joins
+// 69 others in the middle of their round of probes and loses power soon afterwards. On
+// a site of this size, where all daemons start within a second, nobody probed those
+// that joined last for 21 s.
 func TestNewMemberIsProbedInThisRound(t *testing.T) {
 	w := newNetwork(69)
 	w.run(3 * time.Second)
@@ -123,13 +125,13 @@
 		return true
 	})
 	if !ok || took > 7*time.Second {
-		t.Fatalf("still alive to some after %v", took)
+		t.Fatalf("some members still report the dead daemon as alive after %v, want at most 7 s", took)
 	}
 }
 
-// Pattern: 69 daemons start at the same moment, with the same seed, and one loses
-// power. Figures: the grown users' site; a directory must not name a host that has
-// been off for 7 s, and callers keep an answer for 2 s.
+// Guards against daemons that all probe the same members at the same time: 69 daemons
+// start at the same moment with the same seed, and one loses power. A directory must
+// not list a host that has been off for 7 s, and callers cache an answer for 2 s.
 func TestDaemonsStartedTogetherNoticeADeath(t *testing.T) {
 	const n = 69
 	for _, victim := range []int{3, 17, 29, 41, 68} {
@@ -145,13 +147,14 @@
 			return true
 		})
 		if !ok || took > 7*time.Second {
-			t.Errorf("%s is still alive to some after %v", id(victim), took)
+			t.Errorf("some members still report %s as alive after %v, want at most 7 s", id(victim), took)
 		}
 	}
 }
 
-// The cost of a member at rest does not grow with their number, and a change
-// reaches all within seconds, at sizes up to the one that is planned for.
+// Checks that the cost per member does not grow with the number of members while
+// nothing changes, and that a change reaches all within seconds, up to the largest
+// planned size.
 func TestMembershipCostIsFlat(t *testing.T) {
 	const (
 		maxMessagesASecond = 1.2
@@ -163,9 +166,9 @@
 		w := newNetwork(n)
 		spread, ok := w.until(60*time.Second, func(m *Machine) bool { return len(m.Members()) == n })
 		if !ok {
-			t.Fatalf("%d members do not know each other", n)
+			t.Fatalf("%d members: not all know each other after a minute", n)
 		}
-		w.run(time.Minute) // what a start of all at once leaves to tell is told by then
+		w.run(time.Minute) // by then, the entries of the common start have been sent
 		clear(w.messages)
 		clear(w.bytes)
 		w.run(20 * time.Second)
@@ -179,22 +182,22 @@
 		w.machines[id(n-1)].Set(w.now, Entry{Key: "config", Version: 9, Value: []byte("x")})
 		change, ok := w.until(60*time.Second, func(m *Machine) bool { e, _ := m.Get("config"); return e.Version == 9 })
 		if !ok || change > maxSpread {
-			t.Errorf("%d members: a change took %s, at most %s allowed", n, change, maxSpread)
+			t.Errorf("%d members: a change took %s, want at most %s", n, change, maxSpread)
 		}
 		w.cut[id(1)] = true
 		detect, ok := w.until(60*time.Second, func(m *Machine) bool { return len(m.Members()) == n-1 })
 		if !ok || detect > maxDetect {
-			t.Errorf("%d members: a death took %s, at most %s allowed", n, detect, maxDetect)
+			t.Errorf("%d members: detecting a dead member took %s, want at most %s", n, detect, maxDetect)
 		}
 		t.Logf("%d members: join %s, at rest %.2f messages/s and %.0f bytes/s each, change %s, death %s", n, spread, perMessage, perBytes, change, detect)
 		if perMessage > maxMessagesASecond || perBytes > maxBytesASecond {
-			t.Errorf("%d members: %.2f messages and %.0f bytes a second each at rest", n, perMessage, perBytes)
+			t.Errorf("%d members: %.2f messages and %.0f bytes per second and member at rest, above the limits", n, perMessage, perBytes)
 		}
 	}
 }
 
-// A daemon that slept and was called dead comes back by itself, and a part of
-// the members that was cut off finds the rest again.
+// Checks that daemons that were marked dead while they were cut off rejoin without
+// help, and that both sides of the cut find each other again.
 func TestMembershipComesBack(t *testing.T) {
 	w := newNetwork(9)
 	w.run(5 * time.Second)
@@ -206,18 +209,18 @@
 	}
 	clear(w.cut)
 	if d, ok := w.until(120*time.Second, func(m *Machine) bool { return len(m.Members()) == 9 }); !ok {
-		t.Errorf("not together again after %s", d)
+		t.Errorf("not all members know each other again %s after the end of the cut", d)
 	}
 }
 
-// A lower version never replaces a higher one, whoever sends it.
+// Checks that a lower version of an entry never replaces a higher one.
 func TestMembershipNeverGoesBack(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	m := New(DefaultOptions(1), Member{ID: "a"}, now)
 	m.Set(now, Entry{Key: "config", Version: 5, Value: []byte("new")})
 	m.Receive(now, "b", 0, []Entry{{Key: "config", Version: 4, Value: []byte("old")}}, false)
 	if e, _ := m.Get("config"); e.Version != 5 || string(e.Value) != "new" {
-		t.Errorf("went back to %+v", e)
+		t.Errorf("got %+v, want version 5", e)
 	}
 }
 
@@ -234,12 +237,13 @@
 		}
 	}
 	if moved < 50 || moved > 160 {
-		t.Errorf("%d of 1000 keys moved when one of ten members left", moved)
+		t.Errorf("%d of 1000 keys moved when one of ten members left, want 50 to 160", moved)
 	}
 }
 
-// The slowest of many changes still reaches all members within seconds: a
-// member that the first gossip misses must not wait for a quiet time.
+// Checks that the slowest of many changes still reaches all members within seconds:
+// a member that the first gossip misses must not wait for a full exchange after a
+// quiet period.
 func TestMembershipSlowestChange(t *testing.T) {
 	const maxSlowest = 2500 * time.Millisecond
 	for _, c := range []struct{ members, changes int }{{3, 100}, {6, 200}, {12, 200}, {48, 50}} {
@@ -259,13 +263,14 @@
 		}
 		t.Logf("%d members: mean %s, slowest %s of %d changes", c.members, total/time.Duration(c.changes), slowest, c.changes)
 		if slowest > maxSlowest {
-			t.Errorf("%d members: the slowest change took %s, at most %s allowed", c.members, slowest, maxSlowest)
+			t.Errorf("%d members: the slowest change took %s, want at most %s", c.members, slowest, maxSlowest)
 		}
 	}
 }
 
-// Duties for many daemons go to the larger hosts, in the same order at each daemon, and
-// to the others where those do not take part. Where nobody tells its size, nothing changes.
+// Checks that duties for many daemons go to the large hosts, and to the others if the
+// large hosts are leaving. If no member reports its capacity, the order is that of
+// Rendezvous.
 func TestAblestMembersComeFirst(t *testing.T) {
 	var list []Member
 	for i := range 12 {
@@ -278,25 +283,25 @@
 	ranked := RendezvousByCapacity("duty", list)
 	for i, m := range ranked {
 		if able := m.Capacity == 800; able != (i < 3) {
-			t.Fatalf("place %d has capacity %d", i, m.Capacity)
+			t.Fatalf("the member at place %d has capacity %d, want the large ones first", i, m.Capacity)
 		}
 	}
 	for i := range list {
 		list[i].Leaving = list[i].Capacity == 800
 	}
 	if got, want := RendezvousByCapacity("duty", list), Rendezvous("duty", list); !reflect.DeepEqual(got, want) || len(got) != 9 {
-		t.Fatalf("%v, want %v", got, want)
+		t.Fatalf("got order %v, want %v", got, want)
 	}
 	for i := range list {
 		list[i].Capacity, list[i].Leaving = 0, false
 	}
 	if got, want := RendezvousByCapacity("duty", list), Rendezvous("duty", list); !reflect.DeepEqual(got, want) {
-		t.Fatalf("%v, want %v", got, want)
+		t.Fatalf("got order %v, want %v", got, want)
 	}
 }
 
-// A fact that one daemon learns is known to all within a second, and forgotten by all without
-// being told for ever.
+// Checks that a fact published by one daemon reaches all within a second, and that all drop it
+// when it is stale, without sending it to each other again.
 func TestFactsSpreadWithinASecondAndAreForgotten(t *testing.T) {
 	for _, n := range []int{7, 71, 195, 375} {
 		w := newNetwork(n)
@@ -311,19 +316,19 @@
 		w.machines[id(n/2)].Set(w.now, Entry{Key: key, Version: version, Value: []byte("2")})
 		took, ok := w.until(5*time.Second, func(m *Machine) bool { e, _ := m.Get(key); return e.Version == version })
 		if !ok || took > time.Second {
-			t.Errorf("%d daemons: known to all after %v", n, took)
+			t.Errorf("%d daemons: the fact reached all after %v, want at most 1 s", n, took)
 		}
-		t.Logf("%d daemons: known to all after %v", n, took)
+		t.Logf("%d daemons: the fact reached all after %v", n, took)
 		if n > 71 {
-			continue // what is forgotten does not hang on their number
+			continue // dropping stale facts does not depend on the number of daemons
 		}
 		w.run(keptFor)
 		if _, ok := w.until(5*time.Second, func(m *Machine) bool { _, known := m.Get(key); return !known }); !ok {
-			t.Errorf("%d daemons: some still know it", n)
+			t.Errorf("%d daemons: some still hold the stale fact", n)
 		}
 		w.run(2 * time.Second)
 		if _, ok := w.until(time.Second, func(m *Machine) bool { _, known := m.Get(key); return !known }); !ok {
-			t.Errorf("%d daemons: it has come back", n)
+			t.Errorf("%d daemons: the dropped fact has returned", n)
 		}
 	}
 }
--- a/coordination/membership/rank.go
+++ b/coordination/membership/rank.go
@@ -7,18 +7,18 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Rendezvous orders members for a key by highest random weight, so that each
-// daemon with the same view picks the same one and few keys move when the
-// view changes.
+// Rendezvous orders the alive members that are not leaving for a key, by highest
+// random weight. All daemons with the same view get the same order, and few keys
+// move when the view changes.
 func Rendezvous(key string, members []Member) []Member { return rank(key, members, 0) }
 
-// ablePart is the part of the largest capacity from which a member counts as able: hosts
-// that differ by less are not worth moving a duty for.
+// largeShare is the share of the largest capacity from which a member counts as large: a
+// smaller difference between hosts isn't worth moving a duty for.
 const ablePart = 0.5
 
-// Ablest orders members like Rendezvous, those on the larger hosts before the others: for
-// duties that one daemon has for many. They cost as much on a small host, which then has
-// that much less for its callers, and is late with both.
+// RendezvousByCapacity orders members like Rendezvous, but those on large hosts first. It is
+// for duties that one daemon carries out for many: they cost the same on a small host, which
+// then has less capacity left for its callers and delays both.
 func RendezvousByCapacity(key string, members []Member) []Member {
 	largest := 0
 	for _, m := range members {
@@ -31,14 +31,15 @@
 
 func takesPart(m Member) bool { return !m.Leaving && m.Status == Alive }
 
-// ranked is a member with what it is ordered by.
+// ranked is a member with its sort keys.
 type ranked struct {
 	able   bool
 	weight uint64
 	member *Member
 }
 
-// rank orders the members that take part: those of at least a capacity first.
+// rank orders the alive members that are not leaving, those with at least the capacity large
+// first.
 func rank(key string, members []Member, able float64) []Member {
 	list := make([]ranked, 0, len(members))
 	for i := range members {
