--- a/coordination/membership/membership.go
+++ b/coordination/membership/membership.go
@@ -53,7 +53,8 @@
 	Capacity int `json:"capacity,omitempty"`
 }
 
-// Entry is one gossiped item; of two entries with a key, the higher version wins.
+// Entry is one gossiped item. Of two entries with the same key, the one with the
+// higher version wins.
 type Entry struct {
 	Key     string
 	Version uint64
@@ -133,23 +134,23 @@
 
 // Machine is one daemon's view. It is not safe for concurrent use.
 type Machine struct {
-	opt      Options
-	rng      *rand.Rand
-	self     Member
-	entries  map[string]*entry
-	order    []string // probe order, shuffled
-	probing  *probe
-	nextAt   time.Time
-	lastNews time.Time
-	urgent   bool      // there are entries to send at once
-	fullTo   []string  // members to send a full exchange to
-	facts    []Entry   // learned facts that Ready has not returned yet
-	staleAt  time.Time // time of the last check for stale facts
-	repeats  map[string]*repeat
-	digest   uint64
-	hot      map[string]bool // keys of entries with remaining sends
-	aging    map[string]bool // keys of suspect and dead members
-	revision uint64
+	opt        Options
+	rng        *rand.Rand
+	self       Member
+	entries    map[string]*entry
+	order      []string // probe order, shuffled
+	probing    *probe
+	nextAt     time.Time
+	lastChange time.Time
+	urgent     bool      // there are entries to send at once
+	fullTo     []string  // members to send a full exchange to
+	facts      []Entry   // learned facts that Ready has not returned yet
+	staleAt    time.Time // time of the last check for stale facts
+	repeats    map[string]*repeat
+	digest     uint64
+	pending    map[string]bool // keys of entries with remaining sends
+	aging      map[string]bool // keys of suspect and dead members
+	revision   uint64
 }
 
 // New returns a view that holds only self. Its random choices depend on the seed
@@ -159,7 +160,7 @@
 func New(opt Options, self Member, now time.Time) *Machine {
 	self.Status = Alive
 	m := &Machine{opt: opt, rng: rand.New(rand.NewPCG(opt.Seed, xxhash.Sum64String(self.ID))), self: self,
-		entries: map[string]*entry{}, hot: map[string]bool{}, aging: map[string]bool{}, repeats: map[string]*repeat{}}
+		entries: map[string]*entry{}, pending: map[string]bool{}, aging: map[string]bool{}, repeats: map[string]*repeat{}}
 	m.nextAt = now
 	m.put(now, memberEntry(self))
 	return m
@@ -237,7 +238,7 @@
 		m.aging[e.Key] = true
 	}
 	if e.sends > 0 {
-		m.hot[e.Key] = true
+		m.pending[e.Key] = true
 	}
 	m.revision++
 }
@@ -246,16 +247,16 @@
 // sent too, so that an entry that most members know costs little. The last send
 // remains: each member sends the entry once more with its next probe, in case the
 // first gossip missed a member.
-func (m *Machine) heardAgain(e *entry) {
+func (m *Machine) observeDuplicate(e *entry) {
 	if e.sends > 1 {
 		e.sends--
 	}
 }
 
 // countSend counts one send of an entry.
-func (m *Machine) told(e *entry) {
+func (m *Machine) countSend(e *entry) {
 	if e.sends--; e.sends == 0 {
-		delete(m.hot, e.Key)
+		delete(m.pending, e.Key)
 	}
 }
 
@@ -270,8 +271,8 @@
 
 // repeat holds the remaining rounds of a fact.
 type repeat struct {
-	left int
-	at   time.Time // of the next round
+	remaining int
+	at        time.Time // of the next round
 }
 
 // repeatFacts marks the facts whose next round is due for sending at once.
@@ -281,7 +282,7 @@
 			continue
 		}
 		e := m.entries[key]
-		if r.left--; e == nil || r.left <= 0 {
+		if r.remaining--; e == nil || r.remaining <= 0 {
 			delete(m.repeats, key)
 		}
 		if e == nil {
@@ -289,7 +290,7 @@
 		}
 		r.at = now.Add(factPause)
 		e.sends = max(e.sends, m.opt.Fanout)
-		m.hot[key] = true
+		m.pending[key] = true
 		m.urgent = true
 	}
 }
@@ -298,20 +299,21 @@
 	m.mix(m.entries[key])
 	delete(m.entries, key)
 	delete(m.aging, key)
-	delete(m.hot, key)
+	delete(m.pending, key)
 }
 
 // put is learn for an entry that other members may not know yet.
 func (m *Machine) put(now time.Time, e Entry) bool { return m.learn(now, e, true) }
 
-// learn stores an entry that is newer than the known one and reports whether it
-// did. If spread is set, the entry is sent on, as other members may not know it
-// yet; the others already know the entries in the answer to a full exchange.
-func (m *Machine) learn(now time.Time, e Entry, tell bool) bool {
+// learn stores an entry that is newer than the known one, or refutes it if it names
+// this daemon suspect or dead, and reports whether it did. If spread is set, the
+// entry is sent on, as other members may not know it yet; they already know the
+// entries in the answer to a full exchange.
+func (m *Machine) learn(now time.Time, e Entry, spread bool) bool {
 	old := m.entries[e.Key]
 	if old != nil && old.Version >= e.Version {
 		if old.Version == e.Version {
-			m.heardAgain(old)
+			m.observeDuplicate(old)
 		}
 		return false
 	}
@@ -338,14 +340,14 @@
 		}
 		m.facts = append(m.facts, e)
 	}
-	if tell {
+	if spread {
 		next.sends = m.retransmits()
 		m.urgent = true
 	}
-	if tell && next.member == nil {
-		m.repeats[e.Key] = &repeat{left: factRounds - 1, at: now.Add(factPause)}
+	if spread && next.member == nil {
+		m.repeats[e.Key] = &repeat{remaining: factRounds - 1, at: now.Add(factPause)}
 	}
-	m.lastNews = now
+	m.lastChange = now
 	m.store(next)
 	return true
 }
@@ -399,7 +401,7 @@
 // compare schedules a full exchange if the digests still differ after a time
 // without changes; while changes spread, digests differ all the time.
 func (m *Machine) compare(now time.Time, from string, digest uint64) {
-	if digest != m.Digest() && now.Sub(m.lastNews) >= m.opt.QuietPeriod && !slices.Contains(m.fullTo, from) {
+	if digest != m.Digest() && now.Sub(m.lastChange) >= m.opt.QuietPeriod && !slices.Contains(m.fullTo, from) {
 		m.fullTo = append(m.fullTo, from)
 	}
 }
@@ -417,17 +419,17 @@
 // piggyback returns the entries with the most remaining sends, and counts the
 // send.
 func (m *Machine) piggyback() []Entry {
-	var hot []*entry
-	for key := range m.hot {
-		hot = append(hot, m.entries[key])
+	var pending []*entry
+	for key := range m.pending {
+		pending = append(pending, m.entries[key])
 	}
-	slices.SortFunc(hot, func(a, b *entry) int {
+	slices.SortFunc(pending, func(a, b *entry) int {
 		return cmp.Or(cmp.Compare(b.sends, a.sends), cmp.Compare(a.Key, b.Key))
 	})
-	hot = hot[:min(len(hot), m.opt.MaxPiggyback)]
-	list := make([]Entry, len(hot))
-	for i, e := range hot {
-		m.told(e)
+	pending = pending[:min(len(pending), m.opt.MaxPiggyback)]
+	list := make([]Entry, len(pending))
+	for i, e := range pending {
+		m.countSend(e)
 		list[i] = e.Entry
 	}
 	return list
@@ -453,7 +455,7 @@
 	for _, id := range m.fullTo {
 		if e := m.entries[MemberPrefix+id]; e != nil && e.member.Status != Dead {
 			r.Messages = append(r.Messages, Message{To: *e.member, Digest: m.Digest(), Entries: m.all(), Full: true})
-			m.lastNews = now // at most one full exchange per quiet period
+			m.lastChange = now // at most one full exchange per quiet period
 		}
 	}
 	m.fullTo = nil
--- a/coordination/membership/membership_test.go
+++ b/coordination/membership/membership_test.go
@@ -282,7 +282,7 @@
 	}
 	ranked := RendezvousByCapacity("duty", list)
 	for i, m := range ranked {
-		if able := m.Capacity == 800; able != (i < 3) {
+		if large := m.Capacity == 800; large != (i < 3) {
 			t.Fatalf("the member at place %d has capacity %d, want the large ones first", i, m.Capacity)
 		}
 	}
--- a/coordination/membership/rank.go
+++ b/coordination/membership/rank.go
@@ -14,7 +14,7 @@
 
 // largeShare is the share of the largest capacity from which a member counts as large: a
 // smaller difference between hosts isn't worth moving a duty for.
-const ablePart = 0.5
+const largeShare = 0.5
 
 // RendezvousByCapacity orders members like Rendezvous, but those on large hosts first. It is
 // for duties that one daemon carries out for many: they cost the same on a small host, which
@@ -22,34 +22,34 @@
 func RendezvousByCapacity(key string, members []Member) []Member {
 	largest := 0
 	for _, m := range members {
-		if takesPart(m) {
+		if eligible(m) {
 			largest = max(largest, m.Capacity)
 		}
 	}
-	return rank(key, members, ablePart*float64(largest))
+	return rank(key, members, largeShare*float64(largest))
 }
 
-func takesPart(m Member) bool { return !m.Leaving && m.Status == Alive }
+func eligible(m Member) bool { return !m.Leaving && m.Status == Alive }
 
 // ranked is a member with its sort keys.
 type ranked struct {
-	able   bool
+	large  bool
 	weight uint64
 	member *Member
 }
 
-// rank orders the alive members that are not leaving, those with at least the capacity large
+// rank orders the alive members that are not leaving, those with a capacity of at least minLarge
 // first.
-func rank(key string, members []Member, able float64) []Member {
+func rank(key string, members []Member, minLarge float64) []Member {
 	list := make([]ranked, 0, len(members))
 	for i := range members {
-		if m := &members[i]; takesPart(*m) {
-			list = append(list, ranked{float64(m.Capacity) >= able, xxhash.Sum64String(key + "\x00" + m.ID), m})
+		if m := &members[i]; eligible(*m) {
+			list = append(list, ranked{float64(m.Capacity) >= minLarge, xxhash.Sum64String(key + "\x00" + m.ID), m})
 		}
 	}
 	slices.SortFunc(list, func(a, b ranked) int {
-		if a.able != b.able {
-			if a.able {
+		if a.large != b.large {
+			if a.large {
 				return -1
 			}
 			return 1
