--- a/coordination/relay/changelog.go
+++ b/coordination/relay/changelog.go
@@ -7,18 +7,18 @@
 	"github.com/doorvalve/doorvalve/state/fleet"
 )
 
-// maxGone bounds the departures that are remembered; who missed more gets the
-// whole list.
+// maxRemovals bounds the removals that are remembered; a follower that missed
+// more gets the whole list.
 const maxGone = 256
 
-// Delta is what has changed in a view.
+// Delta holds the changes of a view.
 type Delta struct {
-	Whole     bool // Endpoints are all there are
+	Whole     bool // Endpoints is the whole view, not only the changes
 	Endpoints []*fleet.Endpoint
-	Removed   []string // ids
+	Removed   []string // ids of removed endpoints
 }
 
-// Empty reports whether nothing has changed.
+// Empty reports whether the delta holds no changes.
 func (d *Delta) Empty() bool { return !d.Whole && len(d.Endpoints) == 0 && len(d.Removed) == 0 }
 
 type departure struct {
@@ -26,22 +26,22 @@
 	change uint64
 }
 
-// ChangeLog numbers the changes of a view, so that others can be told what
-// changed since a number that they name.
+// ChangeLog numbers the changes of a view, so that followers can get the changes
+// since a number. It is not safe for concurrent use.
 type ChangeLog struct {
 	change    uint64
-	changedAt map[string]uint64 // by endpoint
+	changedAt map[string]uint64 // number of the last change, by endpoint id
 	gone      []departure       // oldest first
-	forgotten uint64            // departures up to this change are forgotten
+	forgotten uint64            // removals up to this change have been dropped
 }
 
 // NewChangeLog returns an empty log.
 func NewChangeLog() *ChangeLog { return &ChangeLog{changedAt: map[string]uint64{}} }
 
-// Change returns the number of the last change.
+// LastChange returns the number of the last change; zero before the first.
 func (l *ChangeLog) LastChange() uint64 { return l.change }
 
-// Record takes the next view.
+// Record adds the changes from the view old to the view next.
 func (l *ChangeLog) Record(old, next *fleet.View) {
 	l.change++
 	for id, e := range next.ByID {
@@ -61,8 +61,8 @@
 	}
 }
 
-// Since returns what has changed in the present view since a change; all of it
-// where known is false or the departures since then are not remembered.
+// Since returns the changes of the current view since the change with a number, or
+// the whole view if known is false or the removals since then are not remembered.
 func (l *ChangeLog) Since(change uint64, known bool, view *fleet.View) Delta {
 	d := Delta{Whole: !known || change < l.forgotten || change > l.change}
 	for id, e := range view.ByID {
--- a/coordination/relay/relay.go
+++ b/coordination/relay/relay.go
@@ -1,6 +1,7 @@
-// Package relay spreads what the platform's store says without a watch of each
-// daemon: a few daemons follow the store themselves, the others take it from
-// them, and know how old it is. Its types are state machines without I/O.
+// Package relay spreads the data of the platform's store without a watch by each
+// daemon: a few daemons, the watchers, follow the store themselves; the others, the
+// followers, copy from a watcher as their upstream and track the age of the copy.
+// Its types do no I/O: callers pass events and the time.
 package relay
 
 import (
@@ -10,23 +11,23 @@
 )
 
 const (
-	// leastWatchers is the number of daemons that follow the store in the
-	// smallest installation, so that the loss of one leaves one.
+	// minWatchers is the minimum number of watchers, so that one remains when one is
+	// lost.
 	leastWatchers = 2
-	// followersPerWatcher bounds the daemons that poll one watcher: two polls a
-	// second of each are some hundredths of a core.
+	// followersPerWatcher bounds the followers of one watcher: at two polls per second
+	// each, they cost it some hundredths of a core.
 	followersPerWatcher = 24
-	// largeDomain is the number of daemons from which a failure domain has a
-	// watcher of its own: fewer cost less by polling another domain.
+	// largeDomain is the number of daemons from which a failure domain has watchers of
+	// its own: fewer daemons cost less if they poll another domain.
 	largeDomain = 8
-	// watchersKey ranks the daemons that follow the store.
+	// watchersKey is the key by which daemons are ranked as watchers.
 	watchersKey = "store-watchers"
 )
 
 // Watchers returns the daemons that follow the store themselves: some of each
-// large failure domain, so that little is sent between domains, and two at
-// least. Daemons with the same view of the members pick the same ones, and few
-// change when a member comes or goes.
+// large failure domain, so that little traffic crosses domains, and at least two
+// if there are as many members. Daemons with the same view of the members pick the
+// same watchers, and few change when a member joins or leaves.
 func Watchers(members []membership.Member) []membership.Member {
 	ranked := membership.RendezvousByCapacity(watchersKey, members)
 	inDomain := map[string]int{}
@@ -47,8 +48,8 @@
 	return append(watchers, others[:min(max(0, missing), len(others))]...)
 }
 
-// ownWatchers returns how many daemons of a failure domain with n daemons
-// follow the store for the others there.
+// ownWatchers returns the number of watchers that a failure domain with n daemons
+// has of its own.
 func ownWatchers(n int) int {
 	if n < largeDomain {
 		return 0
@@ -56,9 +57,9 @@
 	return (n + followersPerWatcher) / (followersPerWatcher + 1)
 }
 
-// Upstreams reports whether a daemon follows the store itself, and otherwise
-// returns the watchers to take from, the best first: those of its own failure
-// domain, each daemon with an order of its own so that the load spreads.
+// Upstreams reports whether the daemon self is a watcher. If not, it returns the
+// watchers to copy from, the preferred first: those of its own failure domain come
+// first, and each daemon has its own order within a domain, to spread the load.
 func Upstreams(self membership.Member, members []membership.Member) (watches bool, order []membership.Member) {
 	watchers := Watchers(members)
 	if len(watchers) == 0 || slices.ContainsFunc(watchers, func(m membership.Member) bool { return m.ID == self.ID }) {
--- a/coordination/relay/relay_test.go
+++ b/coordination/relay/relay_test.go
@@ -34,16 +34,16 @@
 				continue
 			}
 			if len(order) != most {
-				t.Fatalf("%d daemons: %s may take from %d watchers, not %d", n, m.ID, len(order), most)
+				t.Fatalf("%d daemons: %s can copy from %d watchers, want %d", n, m.ID, len(order), most)
 			}
 			polls[order[0].ID]++
 		}
 		if watching != most {
-			t.Errorf("%d of %d daemons follow the store, not %d", watching, n, most)
+			t.Errorf("%d of %d daemons follow the store, want %d", watching, n, most)
 		}
 		for id, p := range polls {
 			if p > 4*followersPerWatcher {
-				t.Errorf("%d daemons: %d of them poll %s first", n, p, id)
+				t.Errorf("%d daemons: %d of them poll %s first, too many for one watcher", n, p, id)
 			}
 		}
 	}
@@ -58,7 +58,7 @@
 	for _, m := range list {
 		watches, order := Upstreams(m, list)
 		if !watches && watchers[m.FailureDomain] && order[0].FailureDomain != m.FailureDomain {
-			t.Fatalf("%s in %s takes from %s first", m.ID, m.FailureDomain, order[0].FailureDomain)
+			t.Fatalf("%s in %s copies from %s first, want its own failure domain", m.ID, m.FailureDomain, order[0].FailureDomain)
 		}
 	}
 }
@@ -69,43 +69,43 @@
 	}
 	s := NewSource(time.Second)
 	if s.FreshUntil(Endpoints).After(start) || s.FreshUntil(DesiredState).After(start) {
-		t.Fatal("fresh before the first word")
+		t.Fatal("the data is fresh before the first answer")
 	}
 	told := ago(start, 400*time.Millisecond, 300*time.Millisecond)
 	s.Receive(start, told, told)
 	if got := s.FreshUntil(Endpoints); got != start.Add(600*time.Millisecond) {
-		t.Fatalf("endpoints are fresh until %v", got.Sub(start))
+		t.Fatalf("endpoints are fresh for %v, want 600 ms", got.Sub(start))
 	}
 	if got := s.FreshUntil(DesiredState); got != start.Add(700*time.Millisecond) {
-		t.Fatalf("the desired state is fresh until %v", got.Sub(start))
+		t.Fatalf("the desired state is fresh for %v, want 700 ms", got.Sub(start))
 	}
 	first := s.Pick(2)
 	now := start.Add(100 * time.Millisecond)
 	told = ago(now, 5*time.Second, 5*time.Second)
 	s.Receive(now, told, told)
 	if got := s.FreshUntil(Endpoints); got != start.Add(600*time.Millisecond) {
-		t.Fatalf("older news moved it to %v", got.Sub(start))
+		t.Fatalf("after an older answer, endpoints are fresh for %v, want 600 ms", got.Sub(start))
 	}
 	if s.Pick(2) == first {
-		t.Fatal("an upstream that is behind is asked again")
+		t.Fatal("an upstream that is behind is picked again")
 	}
 }
 
-// A desired state that an upstream has only named is not known here, and no reason
-// to leave the upstream.
+// Checks that a desired state of which an upstream only sent the version does not count
+// as known, and that this is no reason to leave the upstream.
 func TestNamedDesiredStateIsNotKnown(t *testing.T) {
 	s := NewSource(time.Second)
 	first := s.Pick(2)
 	s.Receive(start, Freshness{Endpoints: start, DesiredState: start}, Freshness{Endpoints: start})
 	if s.Pick(2) != first {
-		t.Error("the upstream is left")
+		t.Error("another upstream is picked")
 	}
 	if !s.FreshUntil(DesiredState).IsZero() || s.FreshUntil(Endpoints).IsZero() {
-		t.Error("what was taken over is not what is known")
+		t.Error("the known kinds are not those that were copied")
 	}
 }
 
-// An upstream that is up to date with one kind only is behind.
+// Checks that an upstream that is up to date with only one kind is left.
 func TestUpstreamBehindWithOneKindIsLeft(t *testing.T) {
 	for _, seen := range []Freshness{
 		{Endpoints: start, DesiredState: start.Add(-2 * time.Second)},
@@ -116,12 +116,12 @@
 		first := s.Pick(2)
 		s.Receive(start, seen, seen)
 		if s.Pick(2) == first {
-			t.Errorf("%v: asked again", seen)
+			t.Errorf("freshness %v: the upstream is picked again", seen)
 		}
 	}
 }
 
-// follower applies deltas as a daemon does.
+// follower applies deltas like a daemon.
 type follower struct {
 	registry *discovery.Registry
 	cursor   uint64
@@ -143,9 +143,9 @@
 	}
 }
 
-// Random changes of a watcher's view and polls by a follower that now and then
-// loses its place or the watcher's memory of departures: after a poll, both
-// have the same endpoints.
+// Checks that a follower has the same endpoints as its watcher after a poll, under
+// random changes of the watcher's view, while the follower loses its place in the
+// changes and the watcher drops removals.
 func TestFollowerHasWhatTheWatcherHas(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		watcher, l := discovery.NewRegistry(time.Second), NewChangeLog()
@@ -158,7 +158,7 @@
 			id := fmt.Sprintf("e%d", rapid.IntRange(0, 5).Draw(t, "id"))
 			switch rapid.IntRange(0, 6).Draw(t, "event") {
 			case 0, 1, 2:
-				left[id] = left[id] || rapid.Bool().Draw(t, "leaving") // never comes back under its id
+				left[id] = left[id] || rapid.Bool().Draw(t, "leaving") // an endpoint that left does not return under its id
 				watcher.Put(&fleet.Endpoint{ID: id, Service: "s", Version: storeversion.Version{Revision: revision}, Leaving: left[id]}, storeversion.Version{Revision: revision})
 			case 3:
 				watcher.Remove(now, id, storeversion.Version{Revision: revision}, time.Time{})
@@ -178,11 +178,11 @@
 		f.poll(now, l, view)
 		got, _ := f.registry.View()
 		if len(got.ByID) != len(view.ByID) {
-			t.Fatalf("the follower has %d endpoints, the watcher %d", len(got.ByID), len(view.ByID))
+			t.Fatalf("the follower holds %d endpoints, the watcher %d", len(got.ByID), len(view.ByID))
 		}
 		for id, e := range view.ByID {
 			if g := got.ByID[id]; g == nil || g.Version != e.Version || g.Leaving != e.Leaving {
-				t.Fatalf("%s: the follower has %+v, the watcher %+v", id, g, e)
+				t.Fatalf("%s: the follower holds %+v, the watcher %+v", id, g, e)
 			}
 		}
 	})
--- a/coordination/relay/source.go
+++ b/coordination/relay/source.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Kind is a kind of object in the platform's store that is followed.
+// Kind is a kind of object in the platform's store that daemons follow.
 type Kind int
 
 // The kinds.
@@ -12,7 +12,7 @@
 	kinds
 )
 
-// String names a kind for the log.
+// String returns the name of a kind for the log.
 func (k Kind) String() string {
 	if k == DesiredState {
 		return "desired state"
@@ -20,15 +20,15 @@
 	return "endpoints"
 }
 
-// Seen is the time up to which every change of each kind is known; zero where
-// nothing is. The kinds have ages of their own: they come by different calls, of
-// different size, and one can hang while the other does not. By the logs of 79 daemons
-// while large desired states follow each other over links of 10 Mbit/s: with one age
-// for both, the last daemon had a version 4.5 s after the first, and up to 42 daemons
-// never had it; with two, all had it in 1.3 s.
+// Freshness holds, for each kind, the time up to which every change is known; zero if
+// nothing is known. Each kind has an age of its own because the kinds arrive by different
+// calls of different size, and one call can hang while the other does not. With one age
+// for both kinds on 79 daemons, with large desired states in quick succession over links
+// of 10 Mbit/s, the last daemon had a version 4.5 s after the first, and up to 42 daemons
+// never got it; with an age for each kind, all had it within 1.3 s.
 type Freshness [kinds]time.Time
 
-// After reports whether any kind is known for longer than in other.
+// After reports whether any kind is fresher than in other.
 func (s Freshness) After(other Freshness) bool {
 	for k := range s {
 		if s[k].After(other[k]) {
@@ -38,7 +38,7 @@
 	return false
 }
 
-// Age returns the age of the kind that is oldest; unknown if one was never seen.
+// Age returns the age of the oldest kind, or unknown if nothing is known of a kind.
 func (s Freshness) Age(now time.Time, unknown time.Duration) time.Duration {
 	oldest := time.Duration(0)
 	for _, at := range s {
@@ -50,7 +50,7 @@
 	return oldest
 }
 
-// Latest returns, for each kind, the later of two times.
+// Latest returns, for each kind, the later of the two times.
 func Latest(a, b Freshness) Freshness {
 	for k := range a {
 		if b[k].After(a[k]) {
@@ -60,25 +60,25 @@
 	return a
 }
 
-// Source is how old what a daemon takes from others is, and from whom it takes
-// it next.
+// Source tracks the age of the data that a follower copies from its upstreams, and
+// picks its next upstream. It is not safe for concurrent use.
 //
-// Invariant: the age of what was heard is counted from when the store's answer to
-// whoever told it first was asked for, and the time on the way is added, so it
-// never gets younger on its way.
+// Invariant: the age of copied data is counted from the request with which the first
+// daemon read it from the store, and includes the time in transit. So data never gets
+// younger when it is passed on.
 type Source struct {
 	limit    time.Duration
 	seen     Freshness
-	failures int // upstreams given up on
+	failures int // number of times that an upstream failed or was behind
 }
 
-// NewSource returns a source whose word is fresh while it is younger than
-// limit.
+// NewSource returns a source whose data is fresh while it is younger than limit.
 func NewSource(limit time.Duration) *Source { return &Source{limit: limit} }
 
-// Heard takes what an upstream knows, and what of it this daemon has taken over:
-// less, where the upstream has only named a desired state. An upstream that is behind
-// with either kind is given up on.
+// Receive records an answer of an upstream: reported is the freshness of the upstream's
+// data, and copied that of the part which this daemon holds now. copied is older if the
+// upstream only sent the version of a desired state. If the upstream is behind with either
+// kind, Pick returns another one next.
 func (s *Source) Receive(now time.Time, told, taken Freshness) {
 	s.seen = Latest(s.seen, taken)
 	if told.Age(now, s.limit) >= s.limit {
@@ -89,14 +89,14 @@
 // Failed records that an upstream did not answer.
 func (s *Source) Failed() { s.failures++ }
 
-// Pick returns which of n upstreams to ask; another one after each failure.
+// Pick returns the index of the upstream to ask, out of n; it changes after each failure.
 func (s *Source) Pick(n int) int { return s.failures % n }
 
-// Seen returns the time up to which the store has been followed.
+// Freshness returns the freshness of the copied data.
 func (s *Source) Freshness() Freshness { return s.seen }
 
-// FreshUntil returns when what was heard of a kind is too old to rely on; zero
-// before the first word.
+// FreshUntil returns the time from which the copied data of a kind is too old to rely
+// on; zero if nothing was copied yet.
 func (s *Source) FreshUntil(k Kind) time.Time {
 	if s.seen[k].IsZero() {
 		return time.Time{}
