--- a/coordination/relay/changelog.go
+++ b/coordination/relay/changelog.go
@@ -9,7 +9,7 @@
 
 // maxRemovals bounds the removals that are remembered; a follower that missed
 // more gets the whole list.
-const maxGone = 256
+const maxRemovals = 256
 
 // Delta holds the changes of a view.
 type Delta struct {
@@ -21,7 +21,7 @@
 // Empty reports whether the delta holds no changes.
 func (d *Delta) Empty() bool { return !d.Whole && len(d.Endpoints) == 0 && len(d.Removed) == 0 }
 
-type departure struct {
+type removal struct {
 	id     string
 	change uint64
 }
@@ -29,10 +29,10 @@
 // ChangeLog numbers the changes of a view, so that followers can get the changes
 // since a number. It is not safe for concurrent use.
 type ChangeLog struct {
-	change    uint64
-	changedAt map[string]uint64 // number of the last change, by endpoint id
-	gone      []departure       // oldest first
-	forgotten uint64            // removals up to this change have been dropped
+	change      uint64
+	changedAt   map[string]uint64 // number of the last change, by endpoint id
+	removals    []removal         // oldest first
+	droppedUpTo uint64            // removals up to this change have been dropped
 }
 
 // NewChangeLog returns an empty log.
@@ -52,19 +52,20 @@
 	for id := range old.ByID {
 		if next.ByID[id] == nil {
 			delete(l.changedAt, id)
-			l.gone = append(l.gone, departure{id, l.change})
+			l.removals = append(l.removals, removal{id, l.change})
 		}
 	}
-	if over := len(l.gone) - maxGone; over > 0 {
-		l.forgotten = l.gone[over-1].change
-		l.gone = slices.Delete(l.gone, 0, over)
+	if over := len(l.removals) - maxRemovals; over > 0 {
+		l.droppedUpTo = l.removals[over-1].change
+		l.removals = slices.Delete(l.removals, 0, over)
 	}
 }
 
-// Since returns the changes of the current view since the change with a number, or
-// the whole view if known is false or the removals since then are not remembered.
+// Since returns the changes of the current view after the change with the number
+// change. It returns the whole view if known is false, or if the removals since then
+// are no longer remembered.
 func (l *ChangeLog) Since(change uint64, known bool, view *fleet.View) Delta {
-	d := Delta{Whole: !known || change < l.forgotten || change > l.change}
+	d := Delta{Whole: !known || change < l.droppedUpTo || change > l.change}
 	for id, e := range view.ByID {
 		if d.Whole || l.changedAt[id] > change {
 			d.Endpoints = append(d.Endpoints, e)
@@ -74,9 +75,9 @@
 	if d.Whole {
 		return d
 	}
-	for _, g := range l.gone {
-		if g.change > change && view.ByID[g.id] == nil {
-			d.Removed = append(d.Removed, g.id)
+	for _, rem := range l.removals {
+		if rem.change > change && view.ByID[rem.id] == nil {
+			d.Removed = append(d.Removed, rem.id)
 		}
 	}
 	return d
--- a/coordination/relay/relay.go
+++ b/coordination/relay/relay.go
@@ -13,7 +13,7 @@
 const (
 	// minWatchers is the minimum number of watchers, so that one remains when one is
 	// lost.
-	leastWatchers = 2
+	minWatchers = 2
 	// followersPerWatcher bounds the followers of one watcher: at two polls per second
 	// each, they cost it some hundredths of a core.
 	followersPerWatcher = 24
@@ -35,16 +35,16 @@
 		inDomain[m.FailureDomain]++
 	}
 	var watchers, others []membership.Member
-	taken := map[string]int{}
+	picked := map[string]int{}
 	for _, m := range ranked {
-		if taken[m.FailureDomain] < ownWatchers(inDomain[m.FailureDomain]) {
-			taken[m.FailureDomain]++
+		if picked[m.FailureDomain] < ownWatchers(inDomain[m.FailureDomain]) {
+			picked[m.FailureDomain]++
 			watchers = append(watchers, m)
 		} else {
 			others = append(others, m)
 		}
 	}
-	missing := leastWatchers - len(watchers)
+	missing := minWatchers - len(watchers)
 	return append(watchers, others[:min(max(0, missing), len(others))]...)
 }
 
--- a/coordination/relay/relay_test.go
+++ b/coordination/relay/relay_test.go
@@ -24,7 +24,7 @@
 }
 
 func TestFewDaemonsFollowTheStore(t *testing.T) {
-	for n, most := range map[int]int{1: 1, 2: 2, 6: 2, 23: 2, 24: 3, 79: 6, 370: 15} {
+	for n, want := range map[int]int{1: 1, 2: 2, 6: 2, 23: 2, 24: 3, 79: 6, 370: 15} {
 		list := members(n, 3)
 		watching, polls := 0, map[string]int{}
 		for _, m := range list {
@@ -33,13 +33,13 @@
 				watching++
 				continue
 			}
-			if len(order) != most {
-				t.Fatalf("%d daemons: %s can copy from %d watchers, want %d", n, m.ID, len(order), most)
+			if len(order) != want {
+				t.Fatalf("%d daemons: %s can copy from %d watchers, want %d", n, m.ID, len(order), want)
 			}
 			polls[order[0].ID]++
 		}
-		if watching != most {
-			t.Errorf("%d of %d daemons follow the store, want %d", watching, n, most)
+		if watching != want {
+			t.Errorf("%d of %d daemons follow the store, want %d", watching, n, want)
 		}
 		for id, p := range polls {
 			if p > 4*followersPerWatcher {
@@ -63,7 +63,7 @@
 	}
 }
 
-func TestAgeIsNeverForgotten(t *testing.T) {
+func TestOlderAnswerDoesNotExtendFreshness(t *testing.T) {
 	ago := func(now time.Time, endpoints, desired time.Duration) Freshness {
 		return Freshness{Endpoints: now.Add(-endpoints), DesiredState: now.Add(-desired)}
 	}
@@ -71,8 +71,8 @@
 	if s.FreshUntil(Endpoints).After(start) || s.FreshUntil(DesiredState).After(start) {
 		t.Fatal("the data is fresh before the first answer")
 	}
-	told := ago(start, 400*time.Millisecond, 300*time.Millisecond)
-	s.Receive(start, told, told)
+	reported := ago(start, 400*time.Millisecond, 300*time.Millisecond)
+	s.Receive(start, reported, reported)
 	if got := s.FreshUntil(Endpoints); got != start.Add(600*time.Millisecond) {
 		t.Fatalf("endpoints are fresh for %v, want 600 ms", got.Sub(start))
 	}
@@ -81,8 +81,8 @@
 	}
 	first := s.Pick(2)
 	now := start.Add(100 * time.Millisecond)
-	told = ago(now, 5*time.Second, 5*time.Second)
-	s.Receive(now, told, told)
+	reported = ago(now, 5*time.Second, 5*time.Second)
+	s.Receive(now, reported, reported)
 	if got := s.FreshUntil(Endpoints); got != start.Add(600*time.Millisecond) {
 		t.Fatalf("after an older answer, endpoints are fresh for %v, want 600 ms", got.Sub(start))
 	}
@@ -93,7 +93,7 @@
 
 // Checks that a desired state of which an upstream only sent the version does not count
 // as known, and that this is no reason to leave the upstream.
-func TestNamedDesiredStateIsNotKnown(t *testing.T) {
+func TestDesiredStateKnownByVersionIsNotFresh(t *testing.T) {
 	s := NewSource(time.Second)
 	first := s.Pick(2)
 	s.Receive(start, Freshness{Endpoints: start, DesiredState: start}, Freshness{Endpoints: start})
@@ -107,16 +107,16 @@
 
 // Checks that an upstream that is up to date with only one kind is left.
 func TestUpstreamBehindWithOneKindIsLeft(t *testing.T) {
-	for _, seen := range []Freshness{
+	for _, freshness := range []Freshness{
 		{Endpoints: start, DesiredState: start.Add(-2 * time.Second)},
 		{Endpoints: start.Add(-2 * time.Second), DesiredState: start},
 		{Endpoints: start},
 	} {
 		s := NewSource(time.Second)
 		first := s.Pick(2)
-		s.Receive(start, seen, seen)
+		s.Receive(start, freshness, freshness)
 		if s.Pick(2) == first {
-			t.Errorf("freshness %v: the upstream is picked again", seen)
+			t.Errorf("freshness %v: the upstream is picked again", freshness)
 		}
 	}
 }
@@ -165,8 +165,8 @@
 			case 4:
 				f.known = false
 			case 5:
-				l.forgotten = l.change
-				l.gone = nil
+				l.droppedUpTo = l.change
+				l.removals = nil
 			case 6:
 				f.poll(now, l, view)
 			}
--- a/coordination/relay/source.go
+++ b/coordination/relay/source.go
@@ -9,7 +9,7 @@
 const (
 	Endpoints Kind = iota
 	DesiredState
-	kinds
+	numKinds
 )
 
 // String returns the name of a kind for the log.
@@ -26,7 +26,7 @@
 // for both kinds on 79 daemons, with large desired states in quick succession over links
 // of 10 Mbit/s, the last daemon had a version 4.5 s after the first, and up to 42 daemons
 // never got it; with an age for each kind, all had it within 1.3 s.
-type Freshness [kinds]time.Time
+type Freshness [numKinds]time.Time
 
 // After reports whether any kind is fresher than in other.
 func (s Freshness) After(other Freshness) bool {
@@ -67,9 +67,9 @@
 // daemon read it from the store, and includes the time in transit. So data never gets
 // younger when it is passed on.
 type Source struct {
-	limit    time.Duration
-	seen     Freshness
-	failures int // number of times that an upstream failed or was behind
+	limit     time.Duration
+	freshness Freshness
+	failures  int // number of times that an upstream failed or was behind
 }
 
 // NewSource returns a source whose data is fresh while it is younger than limit.
@@ -79,9 +79,9 @@
 // data, and copied that of the part which this daemon holds now. copied is older if the
 // upstream only sent the version of a desired state. If the upstream is behind with either
 // kind, Pick returns another one next.
-func (s *Source) Receive(now time.Time, told, taken Freshness) {
-	s.seen = Latest(s.seen, taken)
-	if told.Age(now, s.limit) >= s.limit {
+func (s *Source) Receive(now time.Time, reported, copied Freshness) {
+	s.freshness = Latest(s.freshness, copied)
+	if reported.Age(now, s.limit) >= s.limit {
 		s.failures++
 	}
 }
@@ -93,13 +93,13 @@
 func (s *Source) Pick(n int) int { return s.failures % n }
 
 // Freshness returns the freshness of the copied data.
-func (s *Source) Freshness() Freshness { return s.seen }
+func (s *Source) Freshness() Freshness { return s.freshness }
 
 // FreshUntil returns the time from which the copied data of a kind is too old to rely
 // on; zero if nothing was copied yet.
 func (s *Source) FreshUntil(k Kind) time.Time {
-	if s.seen[k].IsZero() {
+	if s.freshness[k].IsZero() {
 		return time.Time{}
 	}
-	return s.seen[k].Add(s.limit)
+	return s.freshness[k].Add(s.limit)
 }
