--- a/driver/leaserelay/leaserelay.go
+++ b/driver/leaserelay/leaserelay.go
@@ -1,7 +1,7 @@
-// Package leaserelay reads and writes leases in the platform's store, through
-// other daemons where the store does not answer this one. The store may turn
-// single hosts away for many seconds; without a way around, the holder of a
-// lease among them would lose it, and its service would be without orders for
+// Package leaserelay reads and writes leases in the platform's store, and goes
+// through other daemons if the store does not answer this one. The store may
+// reject single hosts for many seconds. Without another path, a lease holder on
+// such a host would lose its lease, and its service would be without orders for
 // the rest of the term and the gap between two holders.
 package leaserelay
 
@@ -22,16 +22,16 @@
 )
 
 const (
-	// hedgeAfter is how long one way is waited for before the next is tried
-	// beside it: many times what the store takes on an ordinary day, and short
-	// enough for all ways within the time of one call for the lease.
+	// hedgeAfter is how long to wait for one path before the next is tried in
+	// parallel: many times the usual response time of the store, and short enough
+	// to try all paths within the timeout of one lease call.
 	hedgeAfter = 120 * time.Millisecond
-	// mostPeers bounds the daemons that are asked: the store seldom turns more
-	// than a third away, so three in a row are few.
+	// maxPeers bounds the peers that are tried: the store seldom rejects more than
+	// a third of the daemons, so it is unlikely to reject three in a row.
 	mostPeers = 3
 )
 
-// Peer is the part of another daemon's interface that is used here.
+// Peer is the part of another daemon's interface that Relay uses.
 type Peer interface {
 	ReadLease(context.Context, *fleetpb.ReadLeaseRequest) (*fleetpb.ReadLeaseResponse, error)
 	WriteLease(context.Context, *fleetpb.WriteLeaseRequest) (*fleetpb.WriteLeaseResponse, error)
@@ -43,11 +43,11 @@
 	peers       func(most int) []Peer
 	generations *generations.Tracker
 	log         *decisions.Log
-	away        atomic.Bool // the last answer came through a peer
+	away        atomic.Bool // whether the last answer came through a peer
 }
 
-// New returns a relay to the store. peers returns other daemons, most at the
-// most, in the order in which they are asked.
+// New returns a relay to the store. peers returns at most limit other daemons, in
+// the order in which they are tried. tracker may be nil.
 func New(store coordinator.LeaseStore, peers func(most int) []Peer, heard *generations.Tracker, log *decisions.Log) *Relay {
 	return &Relay{store: store, peers: peers, generations: heard, log: log}
 }
@@ -65,7 +65,7 @@
 	version storeversion.Version
 }
 
-// way is one way to the store.
+// path is one path to the store.
 type way interface {
 	read(ctx context.Context, name string) (readAnswer, error)
 	write(ctx context.Context, name string, expected storeversion.Version, record json.RawMessage) (writeAnswer, error)
@@ -84,8 +84,9 @@
 }
 
 // WriteLease implements coordinator.LeaseStore. The write may reach the store
-// more than once; its condition lets at most one take effect, so after a
-// second try a conflict does not say that nothing was written.
+// more than once, and its condition lets it take effect at most once. So a conflict
+// after more than one try does not mean that nothing was written, and WriteLease
+// then returns protocol.WriteUnknown.
 func (r *Relay) WriteLease(ctx context.Context, name string, expected storeversion.Version, record any) (storeversion.Version, protocol.WriteOutcome, error) {
 	encoded, err := json.Marshal(record)
 	if err != nil {
@@ -103,7 +104,7 @@
 	return a.version, a.outcome, nil
 }
 
-// ways returns the ways to the store, the best first.
+// paths returns the paths to the store, the preferred first.
 func (r *Relay) ways() []way {
 	list := []way{direct{r.store, r.generations}}
 	for _, p := range r.peers(mostPeers) {
@@ -112,16 +113,16 @@
 	return list
 }
 
-// result is what came of one way.
+// result is the outcome of a call on one path.
 type result[T any] struct {
 	answer T
 	err    error
 	peer   bool
 }
 
-// race tries the ways to the store, each as soon as the one before has failed
-// or has been silent for hedgeAfter, and returns the first answer with the
-// number of ways that were begun.
+// race tries the paths to the store, each as soon as the one before has failed or
+// has not answered within hedgeAfter. It returns the first answer and the number of
+// paths tried.
 func race[T any](ctx context.Context, r *Relay, name string, call func(context.Context, way) (T, error)) (answer T, tries int, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -159,7 +160,7 @@
 	}
 }
 
-// answered logs when the way to the store changes.
+// answered logs when answers change between the direct path and peers.
 func (r *Relay) answered(name string, peer bool, err error) {
 	if r.away.Swap(peer) == peer {
 		return
@@ -171,7 +172,7 @@
 	r.log.Info(decisions.EventDependencyRegained, "dependency", "store", "of", "lease", "service", name)
 }
 
-// direct is the way from this daemon.
+// direct is the path from this daemon to the store.
 type direct struct {
 	store       coordinator.LeaseStore
 	generations *generations.Tracker
@@ -188,8 +189,8 @@
 	return a, err
 }
 
-// write does not send a condition on a version of an older generation than the store's: its revision
-// may by now be that of another content.
+// write does not send a condition with a version of an older generation than the store's, as its
+// revision may by now be that of other content.
 func (d direct) write(ctx context.Context, name string, expected storeversion.Version, record json.RawMessage) (writeAnswer, error) {
 	if d.generations.Outdated(expected) {
 		return writeAnswer{protocol.WriteConflict, storeversion.Version{Generation: d.generations.Highest()}}, nil
@@ -201,16 +202,16 @@
 	return writeAnswer{outcome, version}, err
 }
 
-// errNoAnswer says that the store gave no usable answer to a write.
+// errNoAnswer is returned when the store gave no usable answer to a write.
 var errNoAnswer = errors.New("the store gave no usable answer")
 
-// through is the way through another daemon.
+// viaPeer is the path to the store through another daemon.
 type through struct {
 	peer        Peer
 	generations *generations.Tracker
 }
 
-// heard returns a version that another daemon has told.
+// observe records the generation that a peer has reported and returns the version.
 func (t through) heard(generation, revision uint64) storeversion.Version {
 	t.generations.Observe(generation, "peer")
 	return storeversion.Version{Generation: generation, Revision: revision}
@@ -236,7 +237,8 @@
 	return a, nil
 }
 
-// Server answers other daemons from this daemon's own way to the store.
+// Server serves lease calls of other daemons over this daemon's direct path to the
+// store. Generations may be nil.
 type Server struct {
 	Store       coordinator.LeaseStore
 	Generations *generations.Tracker
--- a/driver/leaserelay/leaserelay_test.go
+++ b/driver/leaserelay/leaserelay_test.go
@@ -27,21 +27,21 @@
 
 var errTurnedAway = errors.New("status 429")
 
-// object is the store's one lease.
+// object is the lease in the store.
 type object struct {
 	mu      sync.Mutex
 	record  json.RawMessage
 	version storeversion.Version
-	writes  int // that took effect
+	writes  int // number of writes that took effect
 }
 
-// host is one host's way to the store.
+// host is one host's path to the store.
 type host struct {
 	object *object
 	mu     sync.Mutex
-	how    func(ctx context.Context) error // nil: served
+	how    func(ctx context.Context) error // nil: the store serves the host
 	calls  int
-	// unanswered carries writes out without an answer.
+	// unanswered makes writes take effect without an answer.
 	unanswered bool
 }
 
@@ -125,17 +125,17 @@
 		r := relayOf(own, peer)
 		defer r.log.Close()
 		if _, outcome, err := r.WriteLease(t.Context(), "llm", storeversion.Version{}, lease.Record{Holder: "a"}); outcome != protocol.WriteOK || err != nil {
-			t.Fatalf("write: %v, %v", outcome, err)
+			t.Fatalf("write: got %v, %v; want OK", outcome, err)
 		}
 		if peer.calls != 0 {
-			t.Fatalf("%d calls through a peer with a store that answers", peer.calls)
+			t.Fatalf("%d calls through a peer while the store answers, want none", peer.calls)
 		}
 		for _, how := range []func(context.Context) error{refused, silent} {
 			own.turnAway(how)
 			var rec lease.Record
 			version, err := r.ReadLease(t.Context(), "llm", &rec)
 			if err != nil || version.Revision != 1 || rec.Holder != "a" {
-				t.Fatalf("read through a peer: %d, %+v, %v", version, rec, err)
+				t.Fatalf("read through a peer: got version %d, %+v, %v", version, rec, err)
 			}
 		}
 	})
@@ -148,13 +148,13 @@
 		r := relayOf(own, &host{object: o, how: refused}, &host{object: o})
 		defer r.log.Close()
 		if _, err := r.ReadLease(t.Context(), "llm", &lease.Record{}); !errors.Is(err, lease.ErrNotFound) {
-			t.Fatalf("got %v", err)
+			t.Fatalf("got error %v, want ErrNotFound", err)
 		}
 	})
 }
 
-// A write whose answer is lost took effect: the second try's conflict must not
-// be taken for the word that nothing was written.
+// Guards against a conflict that counts as proof that nothing was written: the first
+// try took effect and its answer was lost, so the second try conflicts with it.
 func TestConflictAfterALostAnswerIsUnknown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		o := &object{}
@@ -163,7 +163,7 @@
 		defer r.log.Close()
 		_, outcome, err := r.WriteLease(t.Context(), "llm", storeversion.Version{}, lease.Record{Holder: "a"})
 		if outcome != protocol.WriteUnknown || err != nil || o.writes != 1 {
-			t.Fatalf("outcome %v, error %v, %d writes", outcome, err, o.writes)
+			t.Fatalf("got outcome %v, error %v, %d writes; want an unknown outcome and one write", outcome, err, o.writes)
 		}
 	})
 }
@@ -176,12 +176,12 @@
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		if _, outcome, err := r.WriteLease(ctx, "llm", storeversion.Version{}, lease.Record{}); err == nil || outcome != protocol.WriteUnknown {
-			t.Fatalf("got %v, %v", outcome, err)
+			t.Fatalf("got outcome %v, error %v; want an unknown outcome and an error", outcome, err)
 		}
 	})
 }
 
-// noEngines answers nothing.
+// noEngines fails all calls to engines.
 type noEngines struct{}
 
 func (noEngines) Order(context.Context, residency.Order) (residency.Outcome, error) {
@@ -192,9 +192,9 @@
 	return residency.Report{}, errTurnedAway
 }
 
-// Load: the store turns the coordinator's host away, and a third of the others,
-// while all ask for models. Grounds of the figures: outages of single hosts last
-// 4 to 9 s on the users' days; a takeover costs 5.3 s without orders.
+// Guards against a coordinator that loses its lease because the store rejects its host
+// and some of the other hosts. Outages of single hosts last 4 to 9 s, and a takeover
+// leaves a service without orders for 5.3 s.
 func TestHolderTurnedAwayKeepsItsLease(t *testing.T) {
 	for name, how := range map[string]func(context.Context) error{"refused": refused, "silent": silent} {
 		t.Run(name, func(t *testing.T) {
@@ -215,13 +215,13 @@
 				for range 90 {
 					time.Sleep(100 * time.Millisecond)
 					if !c.Holds() {
-						t.Fatal("the holder lost its lease while another daemon reached the store")
+						t.Fatal("the holder lost its lease although another daemon reached the store")
 					}
 				}
 				own.turnAway(nil)
 				time.Sleep(2 * time.Second)
 				if n := changes.Load(); n != 1 {
-					t.Errorf("the lease changed hands %d times", n)
+					t.Errorf("the lease was taken or lost %d times, want once", n)
 				}
 				cancel()
 				synctest.Wait()
@@ -231,8 +231,8 @@
 	}
 }
 
-// Guards against a condition that meets another content of the same revision: a version of an older
-// generation of the store is not sent, neither for this daemon nor for another one.
+// Guards against a condition that other content of the same revision meets: a version of an older
+// generation of the store is not sent, neither for this daemon nor for a peer.
 func TestConditionOfAnOlderGenerationIsNotSent(t *testing.T) {
 	heard := generations.New(quiet(), tally.NoopScope)
 	heard.Observe(3, "test")
@@ -240,13 +240,13 @@
 	expected := storeversion.Version{Generation: 2, Revision: 4}
 	r := New(own, func(int) []Peer { return nil }, heard, quiet())
 	if version, outcome, err := r.WriteLease(t.Context(), "llm", expected, lease.Record{}); outcome != protocol.WriteConflict || version.Generation != 3 || err != nil {
-		t.Errorf("version %v, outcome %v, error %v", version, outcome, err)
+		t.Errorf("got version %v, outcome %v, error %v; want a conflict in generation 3", version, outcome, err)
 	}
 	resp, err := Server{Store: own, Generations: heard}.WriteLease(t.Context(), &fleetpb.WriteLeaseRequest{Name: "llm", Expected: expected.Revision, Generation: expected.Generation, Record: []byte("{}")})
 	if err != nil || resp.Written || resp.Generation != 3 {
-		t.Errorf("for another daemon: %+v, %v", resp, err)
+		t.Errorf("for a peer: got %+v, %v; want a conflict in generation 3", resp, err)
 	}
 	if own.calls != 0 {
-		t.Errorf("%d calls", own.calls)
+		t.Errorf("the store got %d calls, want none", own.calls)
 	}
 }
