--- a/driver/leaserelay/leaserelay.go
+++ b/driver/leaserelay/leaserelay.go
@@ -1,5 +1,5 @@
 // Package leaserelay reads and writes leases in the platform's store, and goes
-// through other daemons if the store does not answer this one. The store may
+// viaPeer other daemons if the store does not answer this one. The store may
 // reject single hosts for many seconds. Without another path, a lease holder on
 // such a host would lose its lease, and its service would be without orders for
 // the rest of the term and the gap between two holders.
@@ -28,7 +28,7 @@
 	hedgeAfter = 120 * time.Millisecond
 	// maxPeers bounds the peers that are tried: the store seldom rejects more than
 	// a third of the daemons, so it is unlikely to reject three in a row.
-	mostPeers = 3
+	maxPeers = 3
 )
 
 // Peer is the part of another daemon's interface that Relay uses.
@@ -39,17 +39,17 @@
 
 // Relay implements coordinator.LeaseStore. It is safe for concurrent use.
 type Relay struct {
-	store       coordinator.LeaseStore
-	peers       func(most int) []Peer
-	generations *generations.Tracker
-	log         *decisions.Log
-	away        atomic.Bool // whether the last answer came through a peer
+	store          coordinator.LeaseStore
+	peers          func(limit int) []Peer
+	generations    *generations.Tracker
+	log            *decisions.Log
+	answeredByPeer atomic.Bool // whether the last answer came through a peer
 }
 
 // New returns a relay to the store. peers returns at most limit other daemons, in
 // the order in which they are tried. tracker may be nil.
-func New(store coordinator.LeaseStore, peers func(most int) []Peer, heard *generations.Tracker, log *decisions.Log) *Relay {
-	return &Relay{store: store, peers: peers, generations: heard, log: log}
+func New(store coordinator.LeaseStore, peers func(limit int) []Peer, tracker *generations.Tracker, log *decisions.Log) *Relay {
+	return &Relay{store: store, peers: peers, generations: tracker, log: log}
 }
 
 // readAnswer is the store's answer to a read.
@@ -66,14 +66,14 @@
 }
 
 // path is one path to the store.
-type way interface {
+type path interface {
 	read(ctx context.Context, name string) (readAnswer, error)
 	write(ctx context.Context, name string, expected storeversion.Version, record json.RawMessage) (writeAnswer, error)
 }
 
 // ReadLease implements coordinator.LeaseStore.
 func (r *Relay) ReadLease(ctx context.Context, name string, v any) (storeversion.Version, error) {
-	a, _, err := race(ctx, r, name, func(ctx context.Context, w way) (readAnswer, error) { return w.read(ctx, name) })
+	a, _, err := race(ctx, r, name, func(ctx context.Context, p path) (readAnswer, error) { return p.read(ctx, name) })
 	switch {
 	case err != nil:
 		return storeversion.Version{}, err
@@ -92,8 +92,8 @@
 	if err != nil {
 		return storeversion.Version{}, protocol.WriteUnknown, err
 	}
-	a, tries, err := race(ctx, r, name, func(ctx context.Context, w way) (writeAnswer, error) {
-		return w.write(ctx, name, expected, encoded)
+	a, tries, err := race(ctx, r, name, func(ctx context.Context, p path) (writeAnswer, error) {
+		return p.write(ctx, name, expected, encoded)
 	})
 	switch {
 	case err != nil:
@@ -105,10 +105,10 @@
 }
 
 // paths returns the paths to the store, the preferred first.
-func (r *Relay) ways() []way {
-	list := []way{direct{r.store, r.generations}}
-	for _, p := range r.peers(mostPeers) {
-		list = append(list, through{p, r.generations})
+func (r *Relay) paths() []path {
+	list := []path{direct{r.store, r.generations}}
+	for _, p := range r.peers(maxPeers) {
+		list = append(list, viaPeer{p, r.generations})
 	}
 	return list
 }
@@ -123,16 +123,16 @@
 // race tries the paths to the store, each as soon as the one before has failed or
 // has not answered within hedgeAfter. It returns the first answer and the number of
 // paths tried.
-func race[T any](ctx context.Context, r *Relay, name string, call func(context.Context, way) (T, error)) (answer T, tries int, err error) {
+func race[T any](ctx context.Context, r *Relay, name string, call func(context.Context, path) (T, error)) (answer T, tries int, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	ways := r.ways()
-	results := make(chan result[T], len(ways))
+	paths := r.paths()
+	results := make(chan result[T], len(paths))
 	begin := func() {
-		w, peer := ways[tries], tries > 0
+		p, peer := paths[tries], tries > 0
 		tries++
 		go func() {
-			a, err := call(ctx, w)
+			a, err := call(ctx, p)
 			results <- result[T]{a, err, peer}
 		}()
 	}
@@ -151,10 +151,10 @@
 			failures = append(failures, got.err)
 		}
 		switch {
-		case tries < len(ways):
+		case tries < len(paths):
 			begin()
 			hedge.Reset(hedgeAfter)
-		case len(failures) == len(ways):
+		case len(failures) == len(paths):
 			return answer, tries, errors.Join(failures...)
 		}
 	}
@@ -162,7 +162,7 @@
 
 // answered logs when answers change between the direct path and peers.
 func (r *Relay) answered(name string, peer bool, err error) {
-	if r.away.Swap(peer) == peer {
+	if r.answeredByPeer.Swap(peer) == peer {
 		return
 	}
 	if peer {
@@ -206,31 +206,31 @@
 var errNoAnswer = errors.New("the store gave no usable answer")
 
 // viaPeer is the path to the store through another daemon.
-type through struct {
+type viaPeer struct {
 	peer        Peer
 	generations *generations.Tracker
 }
 
 // observe records the generation that a peer has reported and returns the version.
-func (t through) heard(generation, revision uint64) storeversion.Version {
+func (t viaPeer) observe(generation, revision uint64) storeversion.Version {
 	t.generations.Observe(generation, "peer")
 	return storeversion.Version{Generation: generation, Revision: revision}
 }
 
-func (t through) read(ctx context.Context, name string) (readAnswer, error) {
+func (t viaPeer) read(ctx context.Context, name string) (readAnswer, error) {
 	resp, err := t.peer.ReadLease(ctx, &fleetpb.ReadLeaseRequest{Name: name})
 	if err != nil {
 		return readAnswer{}, err
 	}
-	return readAnswer{resp.Found, t.heard(resp.Generation, resp.Version), resp.Record}, nil
+	return readAnswer{resp.Found, t.observe(resp.Generation, resp.Version), resp.Record}, nil
 }
 
-func (t through) write(ctx context.Context, name string, expected storeversion.Version, record json.RawMessage) (writeAnswer, error) {
+func (t viaPeer) write(ctx context.Context, name string, expected storeversion.Version, record json.RawMessage) (writeAnswer, error) {
 	resp, err := t.peer.WriteLease(ctx, &fleetpb.WriteLeaseRequest{Name: name, Expected: expected.Revision, Generation: expected.Generation, Record: record})
 	if err != nil {
 		return writeAnswer{}, err
 	}
-	a := writeAnswer{protocol.WriteConflict, t.heard(resp.Generation, resp.Version)}
+	a := writeAnswer{protocol.WriteConflict, t.observe(resp.Generation, resp.Version)}
 	if resp.Written {
 		a.outcome = protocol.WriteOK
 	}
--- a/driver/leaserelay/leaserelay_test.go
+++ b/driver/leaserelay/leaserelay_test.go
@@ -25,7 +25,7 @@
 	"github.com/doorvalve/doorvalve/state/storeversion"
 )
 
-var errTurnedAway = errors.New("status 429")
+var errRejected = errors.New("status 429")
 
 // object is the lease in the store.
 type object struct {
@@ -37,10 +37,10 @@
 
 // host is one host's path to the store.
 type host struct {
-	object *object
-	mu     sync.Mutex
-	how    func(ctx context.Context) error // nil: the store serves the host
-	calls  int
+	object    *object
+	mu        sync.Mutex
+	rejection func(ctx context.Context) error // nil: the store serves the host
+	calls     int
 	// unanswered makes writes take effect without an answer.
 	unanswered bool
 }
@@ -48,21 +48,21 @@
 func (h *host) admitted(ctx context.Context) error {
 	h.mu.Lock()
 	h.calls++
-	how := h.how
+	rejection := h.rejection
 	h.mu.Unlock()
-	if how == nil {
+	if rejection == nil {
 		return nil
 	}
-	return how(ctx)
+	return rejection(ctx)
 }
 
-func (h *host) turnAway(how func(context.Context) error) {
+func (h *host) setRejection(rejection func(context.Context) error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.how = how
+	h.rejection = rejection
 }
 
-func refused(context.Context) error { return errTurnedAway }
+func refused(context.Context) error { return errRejected }
 
 func silent(ctx context.Context) error {
 	<-ctx.Done()
@@ -130,8 +130,8 @@
 		if peer.calls != 0 {
 			t.Fatalf("%d calls through a peer while the store answers, want none", peer.calls)
 		}
-		for _, how := range []func(context.Context) error{refused, silent} {
-			own.turnAway(how)
+		for _, rejection := range []func(context.Context) error{refused, silent} {
+			own.setRejection(rejection)
 			var rec lease.Record
 			version, err := r.ReadLease(t.Context(), "llm", &rec)
 			if err != nil || version.Revision != 1 || rec.Holder != "a" {
@@ -144,8 +144,8 @@
 func TestMissingLeaseIsAnAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		o := &object{}
-		own := &host{object: o, how: refused}
-		r := relayOf(own, &host{object: o, how: refused}, &host{object: o})
+		own := &host{object: o, rejection: refused}
+		r := relayOf(own, &host{object: o, rejection: refused}, &host{object: o})
 		defer r.log.Close()
 		if _, err := r.ReadLease(t.Context(), "llm", &lease.Record{}); !errors.Is(err, lease.ErrNotFound) {
 			t.Fatalf("got error %v, want ErrNotFound", err)
@@ -168,10 +168,10 @@
 	})
 }
 
-func TestNoWayLeftIsAnError(t *testing.T) {
+func TestNoPathLeftIsAnError(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		o := &object{}
-		r := relayOf(&host{object: o, how: refused}, &host{object: o, how: silent})
+		r := relayOf(&host{object: o, rejection: refused}, &host{object: o, rejection: silent})
 		defer r.log.Close()
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
@@ -185,23 +185,23 @@
 type noEngines struct{}
 
 func (noEngines) Order(context.Context, residency.Order) (residency.Outcome, error) {
-	return residency.Unsent, errTurnedAway
+	return residency.Unsent, errRejected
 }
 
 func (noEngines) Report(context.Context, fleet.Incarnation, string) (residency.Report, error) {
-	return residency.Report{}, errTurnedAway
+	return residency.Report{}, errRejected
 }
 
 // Guards against a coordinator that loses its lease because the store rejects its host
 // and some of the other hosts. Outages of single hosts last 4 to 9 s, and a takeover
 // leaves a service without orders for 5.3 s.
 func TestHolderTurnedAwayKeepsItsLease(t *testing.T) {
-	for name, how := range map[string]func(context.Context) error{"refused": refused, "silent": silent} {
+	for name, rejection := range map[string]func(context.Context) error{"refused": refused, "silent": silent} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				o := &object{}
 				own, other := &host{object: o}, &host{object: o}
-				r := relayOf(own, &host{object: o, how: how}, other)
+				r := relayOf(own, &host{object: o, rejection: rejection}, other)
 				var changes atomic.Int64
 				c := coordinator.New(coordinator.Options{
 					Service: "llm", Self: "a", Lease: r, Engines: noEngines{}, OrderGap: 3 * time.Second, Planner: residency.Options{InitialStoreConcurrency: 1},
@@ -211,14 +211,14 @@
 				ctx, cancel := context.WithCancel(t.Context())
 				go c.Run(ctx)
 				time.Sleep(2 * time.Second)
-				own.turnAway(how)
+				own.setRejection(rejection)
 				for range 90 {
 					time.Sleep(100 * time.Millisecond)
 					if !c.Holds() {
 						t.Fatal("the holder lost its lease although another daemon reached the store")
 					}
 				}
-				own.turnAway(nil)
+				own.setRejection(nil)
 				time.Sleep(2 * time.Second)
 				if n := changes.Load(); n != 1 {
 					t.Errorf("the lease was taken or lost %d times, want once", n)
@@ -234,15 +234,15 @@
 // Guards against a condition that other content of the same revision meets: a version of an older
 // generation of the store is not sent, neither for this daemon nor for a peer.
 func TestConditionOfAnOlderGenerationIsNotSent(t *testing.T) {
-	heard := generations.New(quiet(), tally.NoopScope)
-	heard.Observe(3, "test")
+	tracker := generations.New(quiet(), tally.NoopScope)
+	tracker.Observe(3, "test")
 	own := &host{object: &object{}}
 	expected := storeversion.Version{Generation: 2, Revision: 4}
-	r := New(own, func(int) []Peer { return nil }, heard, quiet())
+	r := New(own, func(int) []Peer { return nil }, tracker, quiet())
 	if version, outcome, err := r.WriteLease(t.Context(), "llm", expected, lease.Record{}); outcome != protocol.WriteConflict || version.Generation != 3 || err != nil {
 		t.Errorf("got version %v, outcome %v, error %v; want a conflict in generation 3", version, outcome, err)
 	}
-	resp, err := Server{Store: own, Generations: heard}.WriteLease(t.Context(), &fleetpb.WriteLeaseRequest{Name: "llm", Expected: expected.Revision, Generation: expected.Generation, Record: []byte("{}")})
+	resp, err := Server{Store: own, Generations: tracker}.WriteLease(t.Context(), &fleetpb.WriteLeaseRequest{Name: "llm", Expected: expected.Revision, Generation: expected.Generation, Record: []byte("{}")})
 	if err != nil || resp.Written || resp.Generation != 3 {
 		t.Errorf("for a peer: got %+v, %v; want a conflict in generation 3", resp, err)
 	}
