--- a/driver/generations/generations.go
+++ b/driver/generations/generations.go
@@ -1,5 +1,5 @@
-// Package generations keeps the highest generation of the platform's store that this daemon has
-// heard of, from the store itself or from other daemons.
+// Package generations tracks the highest known generation of the platform's store, which this
+// daemon learns from the store itself or from other daemons.
 package generations
 
 import (
@@ -14,28 +14,30 @@
 	"github.com/doorvalve/doorvalve/state/storeversion"
 )
 
-// Tracker is safe for concurrent use. A nil Tracker has heard of none.
+// Tracker holds the highest known generation. It is safe for concurrent use. A nil Tracker knows no
+// generation and ignores those that it is passed.
 type Tracker struct {
 	log     *decisions.Log
 	highest atomic.Uint64
-	unnamed atomic.Bool // the last answer named none, and one before did
+	unnamed atomic.Bool // the last answer had no generation, though an earlier one had
 	gauge   tally.Gauge
 
 	mu     sync.Mutex
 	onRise []func(generation uint64)
 }
 
-// New returns a tracker that has heard of none.
+// New returns a tracker that knows no generation.
 func New(log *decisions.Log, metrics tally.Scope) *Tracker {
 	return &Tracker{log: log, gauge: metrics.SubScope("store").Gauge("generation")}
 }
 
-// Error is the class of every error that this package creates.
+// Error is the class of all errors that this package creates.
 var Error = errs.Class("generation")
 
-// Read returns the generation that the header of an answer names, and hears of it. One that names none
-// counts as of the highest one heard of: a store that never names one has a single generation. One that
-// cannot be read is an error, as the answer may be anybody's. from says who answered what.
+// ObserveHeader returns the generation in the header of an answer and records it. An answer with an
+// empty header counts as of the highest known generation: a store that never reports one has a single
+// generation. A header that is not a number is an error, as the answer may not be the store's. from
+// describes the answer and its sender, for the log.
 func (t *Tracker) ObserveHeader(header, from string) (uint64, error) {
 	if t == nil {
 		return 0, nil
@@ -58,11 +60,11 @@
 	return named, nil
 }
 
-// shownBytes bounds what is shown of a header that cannot be read.
+// shownBytes bounds the bytes of an invalid header in logs and errors.
 const shownBytes = 80
 
-// Heard takes a generation that an answer names; 0 where it names none. from says who answered
-// what, for the log.
+// Observe records the generation of an answer; 0 if the answer has none. from describes the answer
+// and its sender, for the log.
 func (t *Tracker) Observe(generation uint64, from string) {
 	if t == nil {
 		return
@@ -92,11 +94,11 @@
 	}
 }
 
-// Outdated reports whether a version is of an older generation than the store's: it is no condition
-// for a write, as its revision may by now be that of another content.
+// Outdated reports whether a version is of an older generation than the store's. It must then not be
+// the condition of a write, as its revision may by now be that of other content.
 func (t *Tracker) Outdated(v storeversion.Version) bool { return v.Generation < t.Highest() }
 
-// Highest returns the highest generation heard of; 0 if the store has named none.
+// Highest returns the highest known generation; 0 if none is known.
 func (t *Tracker) Highest() uint64 {
 	if t == nil {
 		return 0
