--- a/driver/generations/generations.go
+++ b/driver/generations/generations.go
@@ -17,10 +17,10 @@
 // Tracker holds the highest known generation. It is safe for concurrent use. A nil Tracker knows no
 // generation and ignores those that it is passed.
 type Tracker struct {
-	log     *decisions.Log
-	highest atomic.Uint64
-	unnamed atomic.Bool // the last answer had no generation, though an earlier one had
-	gauge   tally.Gauge
+	log           *decisions.Log
+	highest       atomic.Uint64
+	headerMissing atomic.Bool // the last answer had no generation, though an earlier one had
+	gauge         tally.Gauge
 
 	mu     sync.Mutex
 	onRise []func(generation uint64)
@@ -37,34 +37,34 @@
 // ObserveHeader returns the generation in the header of an answer and records it. An answer with an
 // empty header counts as of the highest known generation: a store that never reports one has a single
 // generation. A header that is not a number is an error, as the answer may not be the store's. from
-// describes the answer and its sender, for the log.
+// names the source of the answer, for the log.
 func (t *Tracker) ObserveHeader(header, from string) (uint64, error) {
 	if t == nil {
 		return 0, nil
 	}
 	if header == "" {
 		highest := t.Highest()
-		if unnamed := highest > 0; unnamed && !t.unnamed.Swap(true) {
+		if missing := highest > 0; missing && !t.headerMissing.Swap(true) {
 			t.log.Error(decisions.EventGenerationUnreadable, "value", "", "from", from, "taken_for", highest)
 		}
 		return highest, nil
 	}
-	named, err := strconv.ParseUint(header, 10, 64)
+	generation, err := strconv.ParseUint(header, 10, 64)
 	if err != nil {
-		value := strconv.Quote(header[:min(len(header), shownBytes)])
+		value := strconv.Quote(header[:min(len(header), maxShownBytes)])
 		t.log.Error(decisions.EventGenerationUnreadable, "value", value, "from", from)
 		return 0, Error.New("want a whole number, found %s", value)
 	}
-	t.unnamed.Store(false)
-	t.Observe(named, from)
-	return named, nil
+	t.headerMissing.Store(false)
+	t.Observe(generation, from)
+	return generation, nil
 }
 
-// shownBytes bounds the bytes of an invalid header in logs and errors.
-const shownBytes = 80
+// maxShownBytes bounds the bytes of an invalid header in logs and errors.
+const maxShownBytes = 80
 
-// Observe records the generation of an answer; 0 if the answer has none. from describes the answer
-// and its sender, for the log.
+// Observe records the generation of an answer; 0 if the answer has none. from names the source of the
+// answer, for the log.
 func (t *Tracker) Observe(generation uint64, from string) {
 	if t == nil {
 		return
@@ -73,7 +73,7 @@
 		if t.highest.CompareAndSwap(before, generation) {
 			t.gauge.Update(float64(generation))
 			t.log.Info(decisions.EventGenerationChanged, "generation", generation, "before", before, "from", from)
-			t.tell(generation)
+			t.notify(generation)
 			return
 		}
 	}
@@ -86,7 +86,7 @@
 	t.onRise = append(t.onRise, f)
 }
 
-func (t *Tracker) tell(generation uint64) {
+func (t *Tracker) notify(generation uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, f := range t.onRise {
