--- a/driver/gossip/gossip.go
+++ b/driver/gossip/gossip.go
@@ -1,5 +1,5 @@
-// Package gossip drives the membership machine: it passes time, sends its
-// messages over the peers' transport and publishes the view.
+// Package gossip drives the state machine of package membership: it passes the
+// time, sends messages over the peer transport and publishes the view.
 package gossip
 
 import (
@@ -15,14 +15,15 @@
 	"github.com/doorvalve/doorvalve/transport/peers"
 )
 
-// tick is how often the machine is asked for work.
+// tick is the interval at which the machine is polled for actions.
 const tick = 50 * time.Millisecond
 
-// Seeds returns peer addresses to join by; the platform's host list and the
-// settings.
+// Seeds returns the peer addresses to join through, from the platform's host list
+// and the settings.
 type Seeds func(ctx context.Context) []string
 
-// Gossip is safe for concurrent use.
+// Gossip runs the membership of one daemon. It is safe for concurrent use, except
+// for OnChange and OnFact.
 type Gossip struct {
 	log    hclog.Logger
 	client *peers.Client
@@ -38,7 +39,7 @@
 	revision atomic.Uint64
 }
 
-// Options are the settings of a daemon's membership; stale says which facts are too old.
+// Options returns the settings of a daemon's membership. stale reports whether a fact is too old.
 func Options(stale func(now time.Time, f membership.Entry) bool) membership.Options {
 	opt := membership.DefaultOptions(uint64(time.Now().UnixNano()))
 	opt.Stale = stale
@@ -52,18 +53,18 @@
 	return g
 }
 
-// OnChange adds a function that is called after the view has changed. It must
-// be called before Run.
+// OnChange adds a function that is called after each change of the view. OnChange
+// must be called before Run.
 func (g *Gossip) OnChange(f func()) { g.onChange = append(g.onChange, f) }
 
-// OnFact adds a function that is called with each fact that is learned. It must be called
+// OnFact adds a function that is called with each newly learned fact. OnFact must be called
 // before Run.
 func (g *Gossip) OnFact(f func(membership.Entry)) { g.onFact = append(g.onFact, f) }
 
-// Members returns the present view; the caller must not change it.
+// Members returns the current view; the caller must not change it.
 func (g *Gossip) Members() []membership.Member { return *g.members.Load() }
 
-// Revision rises with each change of the view.
+// Revision returns a number that increases with each change of the view.
 func (g *Gossip) Revision() uint64 { return g.revision.Load() }
 
 // Messages returns the number of messages sent.
@@ -76,21 +77,21 @@
 	return g.m.Self()
 }
 
-// Get returns a fact.
+// Get returns the fact with a key.
 func (g *Gossip) Get(key string) (membership.Entry, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.m.Get(key)
 }
 
-// Facts returns the facts whose keys begin with a prefix.
+// Facts returns the facts whose keys begin with a prefix, sorted by key.
 func (g *Gossip) Facts(prefix string) []membership.Entry {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.m.Facts(prefix)
 }
 
-// Set offers a fact to all daemons.
+// Set publishes a fact to all daemons.
 func (g *Gossip) Set(e membership.Entry) {
 	g.do(func(now time.Time) { g.m.Set(now, e) })
 }
@@ -100,7 +101,8 @@
 	g.do(func(now time.Time) { g.m.Update(now, change) })
 }
 
-// do runs f on the machine, then sends what is due and tells of changes.
+// do runs f on the machine, then sends the messages that are due and calls the
+// functions of OnFact and OnChange.
 func (g *Gossip) do(f func(now time.Time)) {
 	g.mu.Lock()
 	now := time.Now()
@@ -137,7 +139,7 @@
 	return false
 }
 
-// Run passes time on until ctx ends.
+// Run polls the machine and joins other daemons until ctx ends. It returns nil.
 func (g *Gossip) Run(ctx context.Context) error {
 	t := time.NewTicker(tick)
 	defer t.Stop()
@@ -156,7 +158,8 @@
 	}
 }
 
-// join asks seeds for their state. It is repeated while this daemon is alone.
+// join asks the seeds for their state. Run repeats it while this daemon knows no
+// other.
 func (g *Gossip) join(ctx context.Context) {
 	self := g.Self().PeerAddress
 	for _, address := range g.seeds(ctx) {
@@ -195,7 +198,7 @@
 	g.do(func(time.Time) { g.m.IndirectAnswer(ind.Target.ID, resp.Alive) })
 }
 
-// HandleGossip serves the Gossip call.
+// HandleGossip serves the Gossip call of peers.
 func (g *Gossip) HandleGossip(req *peerpb.GossipRequest) *peerpb.GossipResponse {
 	resp := &peerpb.GossipResponse{}
 	g.do(func(now time.Time) {
@@ -205,7 +208,7 @@
 	return resp
 }
 
-// HandleProbe serves the Probe call.
+// HandleProbe serves the Probe call of peers: it reports whether the target answers.
 func (g *Gossip) HandleProbe(ctx context.Context, req *peerpb.ProbeRequest) *peerpb.ProbeResponse {
 	ctx, cancel := context.WithTimeout(ctx, peers.CallTimeout/4)
 	defer cancel()
