--- a/driver/gossip/gossip.go
+++ b/driver/gossip/gossip.go
@@ -29,14 +29,14 @@
 	client *peers.Client
 	seeds  Seeds
 
-	mu       sync.Mutex
-	m        *membership.Machine
-	seen     uint64
-	onChange []func()
-	onFact   []func(membership.Entry)
-	members  atomic.Pointer[[]membership.Member]
-	messages atomic.Int64
-	revision atomic.Uint64
+	mu        sync.Mutex
+	m         *membership.Machine
+	published uint64 // revision of the published view
+	onChange  []func()
+	onFact    []func(membership.Entry)
+	members   atomic.Pointer[[]membership.Member]
+	messages  atomic.Int64
+	revision  atomic.Uint64
 }
 
 // Options returns the settings of a daemon's membership. stale reports whether a fact is too old.
@@ -111,8 +111,8 @@
 	changed := g.publish()
 	g.mu.Unlock()
 	for _, fact := range ready.Facts {
-		for _, tell := range g.onFact {
-			tell(fact)
+		for _, notify := range g.onFact {
+			notify(fact)
 		}
 	}
 	for _, msg := range ready.Messages {
@@ -122,15 +122,15 @@
 		go g.probe(ind)
 	}
 	if changed {
-		for _, tell := range g.onChange {
-			tell()
+		for _, notify := range g.onChange {
+			notify()
 		}
 	}
 }
 
 func (g *Gossip) publish() bool {
-	if r := g.m.Revision(); r != g.seen || g.members.Load() == nil {
-		g.seen = r
+	if r := g.m.Revision(); r != g.published || g.members.Load() == nil {
+		g.published = r
 		list := g.m.Members()
 		g.members.Store(&list)
 		g.revision.Store(r)
