--- a/driver/generations/generations.go
+++ b/driver/generations/generations.go
@@ -37,7 +37,7 @@
 // ObserveHeader returns the generation in the header of an answer and records it. An answer with an
 // empty header counts as of the highest known generation: a store that never reports one has a single
 // generation. A header that is not a number is an error, as the answer may not be the store's. from
-// names the source of the answer, for the log.
+// names the call or the source of the answer, for the log.
 func (t *Tracker) ObserveHeader(header, from string) (uint64, error) {
 	if t == nil {
 		return 0, nil
@@ -63,8 +63,8 @@
 // maxShownBytes bounds the bytes of an invalid header in logs and errors.
 const maxShownBytes = 80
 
-// Observe records the generation of an answer; 0 if the answer has none. from names the source of the
-// answer, for the log.
+// Observe records the generation of an answer; 0 if the answer has none. from names the call or the
+// source of the answer, for the log.
 func (t *Tracker) Observe(generation uint64, from string) {
 	if t == nil {
 		return
