--- a/driver/record/record.go
+++ b/driver/record/record.go
@@ -1,6 +1,6 @@
-// Package record keeps one object of the store that outlasts all daemons: one daemon writes it
-// when what it tells has changed, and it is read by those that know nothing yet. Each write is
-// conditional, so that two daemons that both take themselves for the writer cost a conflict.
+// Package record reads and writes one object of the store that outlasts all daemons. One daemon
+// writes the object when its content changes, and daemons that have no state yet read it. Each write
+// is conditional, so two daemons that both act as the writer cause a conflict and lose nothing.
 package record
 
 import (
@@ -15,59 +15,59 @@
 	"github.com/doorvalve/doorvalve/state/storeversion"
 )
 
-// Store keeps records by name.
+// Store stores records by name.
 type Store interface {
-	// ReadRecord decodes a record into v; it returns lease.ErrNotFound, with the store's
-	// generation, if there is none.
+	// ReadRecord decodes a record into v. If there is none, it returns lease.ErrNotFound and a
+	// version with the store's generation.
 	ReadRecord(ctx context.Context, name string, v any) (version storeversion.Version, err error)
-	// WriteRecord writes a record if its version is still expected; an absent one means that it
-	// must not exist.
+	// WriteRecord writes a record if its stored version is still expected. An absent expected
+	// version means that the record must not exist.
 	WriteRecord(ctx context.Context, name string, expected storeversion.Version, v any) (version storeversion.Version, outcome protocol.WriteOutcome, err error)
 }
 
-// Pause is the least time between two calls to the store.
+// MinCallInterval is the minimum time between two calls to the store for a record.
 const MinCallInterval = time.Second
 
-// timeout bounds a call.
+// timeout bounds a call to the store.
 const timeout = 300 * time.Millisecond
 
-// Record is what this daemon knows of one record. It is not safe for concurrent use.
+// Record is this daemon's view of one record. It is not safe for concurrent use.
 type Record struct {
 	store       Store
 	generations *generations.Tracker
 	name        string
-	known       bool // what the store held at version
+	known       bool // whether version is that of the stored record, as far as this daemon knows
 	version     storeversion.Version
 	triedAt     time.Time
 }
 
-// New returns a record that has not been read; a nil store keeps nothing.
+// New returns a record that has not been read. A nil store is valid; Due then never reports true.
 func New(store Store, heard *generations.Tracker, name string) Record {
 	return Record{store: store, generations: heard, name: name}
 }
 
-// Kept reports whether there is a store to keep it.
+// HasStore reports whether the record has a store.
 func (r *Record) HasStore() bool { return r.store != nil }
 
-// Due reports whether the last call is long enough ago for the next one.
+// Due reports whether there is a store and the last call was at least MinCallInterval ago.
 func (r *Record) Due(now time.Time) bool {
 	return r.store != nil && now.Sub(r.triedAt) >= MinCallInterval
 }
 
-// Known reports whether this daemon knows what the store holds: not where the store has come back
-// from a copy since.
+// Known reports whether this daemon knows the version of the stored record. It does not if the
+// store has been restored from a copy since.
 func (r *Record) Known() bool { return r.known && !r.generations.Outdated(r.version) }
 
-// Version returns that of what the store holds, an absent one if that is nothing.
+// Version returns the last known version of the stored record; it is absent if there is no record.
 func (r *Record) Version() storeversion.Version { return r.version }
 
-// IsWriter reports whether this daemon, of all members, is the one that writes the record.
+// IsWriter reports whether the daemon self is the one of all members that writes the record.
 func (r *Record) IsWriter(self string, members []membership.Member) bool {
 	ranked := membership.Rendezvous(r.name+"-record", members)
 	return len(ranked) > 0 && ranked[0].ID == self
 }
 
-// Read decodes the record into v, which stays as it is if there is none.
+// Read decodes the record into v. If there is no record, Read returns nil and leaves v unchanged.
 func (r *Record) Read(ctx context.Context, now time.Time, v any) error {
 	r.triedAt = now
 	ctx, cancel := context.WithTimeout(ctx, timeout)
@@ -81,8 +81,8 @@
 	return nil
 }
 
-// Write replaces the record by v, and reports whether it has. If it has not, what the store holds
-// is not known any more.
+// Write replaces the record by v if Known reports true, and reports whether the record was
+// replaced. If not, the record must be read again before the next write.
 func (r *Record) Write(ctx context.Context, now time.Time, v any) (written bool, err error) {
 	if !r.Known() {
 		return false, nil
@@ -92,7 +92,7 @@
 	defer cancel()
 	version, outcome, err := r.store.WriteRecord(ctx, r.name, r.version, v)
 	if outcome != protocol.WriteOK || version.Generation != r.version.Generation {
-		r.known = false // another daemon has written, or may have, or the store has been restored
+		r.known = false // another daemon has or may have written the record, or the store was restored
 		return false, err
 	}
 	r.version = version
