--- a/driver/record/record.go
+++ b/driver/record/record.go
@@ -42,8 +42,8 @@
 }
 
 // New returns a record that has not been read. A nil store is valid; Due then never reports true.
-func New(store Store, heard *generations.Tracker, name string) Record {
-	return Record{store: store, generations: heard, name: name}
+func New(store Store, tracker *generations.Tracker, name string) Record {
+	return Record{store: store, generations: tracker, name: name}
 }
 
 // HasStore reports whether the record has a store.
