--- a/coordination/lease/lease.go
+++ b/coordination/lease/lease.go
@@ -176,7 +176,8 @@
 // FirstHold reports whether nobody held the lease before the current hold.
 func (m *Machine) FirstHold() bool { return m.firstHold }
 
-// HeldUntil returns the end of the current hold; zero if there is none.
+// HeldUntil returns the end of the current hold, or of the last one if it has run
+// out; zero if there was none, or it was released or lost.
 func (m *Machine) HeldUntil() time.Time { return m.heldUntil }
 
 // Fence returns the fence of the current hold, or of the last one; zero before the first.
