--- a/driver/leaserelay/leaserelay.go
+++ b/driver/leaserelay/leaserelay.go
@@ -1,7 +1,7 @@
-// Package leaserelay reads and writes leases in the platform's store, through
-// other daemons where the store does not answer this one. The store may turn
-// single hosts away for many seconds; without a way around, the holder of a
-// lease among them would lose it, and its service would be without orders for
+// Package leaserelay reads and writes leases in the platform's store, and goes
+// viaPeer other daemons if the store does not answer this one. The store may
+// reject single hosts for many seconds. Without another path, a lease holder on
+// such a host would lose its lease, and its service would be without orders for
 // the rest of the term and the gap between two holders.
 package leaserelay
 
@@ -22,16 +22,16 @@
 )
 
 const (
-	// hedgeAfter is how long one way is waited for before the next is tried
-	// beside it: many times what the store takes on an ordinary day, and short
-	// enough for all ways within the time of one call for the lease.
+	// hedgeAfter is how long to wait for one path before the next is tried in
+	// parallel: many times the usual response time of the store, and short enough
+	// to try all paths within the timeout of one lease call.
 	hedgeAfter = 120 * time.Millisecond
-	// mostPeers bounds the daemons that are asked: the store seldom turns more
-	// than a third away, so three in a row are few.
-	mostPeers = 3
+	// maxPeers bounds the peers that are tried: the store seldom rejects more than
+	// a third of the daemons, so it is unlikely to reject three in a row.
+	maxPeers = 3
 )
 
-// Peer is the part of another daemon's interface that is used here.
+// Peer is the part of another daemon's interface that Relay uses.
 type Peer interface {
 	ReadLease(context.Context, *fleetpb.ReadLeaseRequest) (*fleetpb.ReadLeaseResponse, error)
 	WriteLease(context.Context, *fleetpb.WriteLeaseRequest) (*fleetpb.WriteLeaseResponse, error)
@@ -39,17 +39,17 @@
 
 // Relay implements coordinator.LeaseStore. It is safe for concurrent use.
 type Relay struct {
-	store       coordinator.LeaseStore
-	peers       func(most int) []Peer
-	generations *generations.Tracker
-	log         *decisions.Log
-	away        atomic.Bool // the last answer came through a peer
+	store          coordinator.LeaseStore
+	peers          func(limit int) []Peer
+	generations    *generations.Tracker
+	log            *decisions.Log
+	answeredByPeer atomic.Bool // whether the last answer came through a peer
 }
 
-// New returns a relay to the store. peers returns other daemons, most at the
-// most, in the order in which they are asked.
-func New(store coordinator.LeaseStore, peers func(most int) []Peer, heard *generations.Tracker, log *decisions.Log) *Relay {
-	return &Relay{store: store, peers: peers, generations: heard, log: log}
+// New returns a relay to the store. peers returns at most limit other daemons, in
+// the order in which they are tried. tracker may be nil.
+func New(store coordinator.LeaseStore, peers func(limit int) []Peer, tracker *generations.Tracker, log *decisions.Log) *Relay {
+	return &Relay{store: store, peers: peers, generations: tracker, log: log}
 }
 
 // readAnswer is the store's answer to a read.
@@ -65,15 +65,15 @@
 	version storeversion.Version
 }
 
-// way is one way to the store.
-type way interface {
+// path is one path to the store.
+type path interface {
 	read(ctx context.Context, name string) (readAnswer, error)
 	write(ctx context.Context, name string, expected storeversion.Version, record json.RawMessage) (writeAnswer, error)
 }
 
 // ReadLease implements coordinator.LeaseStore.
 func (r *Relay) ReadLease(ctx context.Context, name string, v any) (storeversion.Version, error) {
-	a, _, err := race(ctx, r, name, func(ctx context.Context, w way) (readAnswer, error) { return w.read(ctx, name) })
+	a, _, err := race(ctx, r, name, func(ctx context.Context, p path) (readAnswer, error) { return p.read(ctx, name) })
 	switch {
 	case err != nil:
 		return storeversion.Version{}, err
@@ -84,15 +84,16 @@
 }
 
 // WriteLease implements coordinator.LeaseStore. The write may reach the store
-// more than once; its condition lets at most one take effect, so after a
-// second try a conflict does not say that nothing was written.
+// more than once, and its condition lets it take effect at most once. So a conflict
+// after more than one try does not mean that nothing was written, and WriteLease
+// then returns protocol.WriteUnknown.
 func (r *Relay) WriteLease(ctx context.Context, name string, expected storeversion.Version, record any) (storeversion.Version, protocol.WriteOutcome, error) {
 	encoded, err := json.Marshal(record)
 	if err != nil {
 		return storeversion.Version{}, protocol.WriteUnknown, err
 	}
-	a, tries, err := race(ctx, r, name, func(ctx context.Context, w way) (writeAnswer, error) {
-		return w.write(ctx, name, expected, encoded)
+	a, tries, err := race(ctx, r, name, func(ctx context.Context, p path) (writeAnswer, error) {
+		return p.write(ctx, name, expected, encoded)
 	})
 	switch {
 	case err != nil:
@@ -103,35 +104,35 @@
 	return a.version, a.outcome, nil
 }
 
-// ways returns the ways to the store, the best first.
-func (r *Relay) ways() []way {
-	list := []way{direct{r.store, r.generations}}
-	for _, p := range r.peers(mostPeers) {
-		list = append(list, through{p, r.generations})
+// paths returns the paths to the store, the preferred first.
+func (r *Relay) paths() []path {
+	list := []path{direct{r.store, r.generations}}
+	for _, p := range r.peers(maxPeers) {
+		list = append(list, viaPeer{p, r.generations})
 	}
 	return list
 }
 
-// result is what came of one way.
+// result is the outcome of a call on one path.
 type result[T any] struct {
 	answer T
 	err    error
 	peer   bool
 }
 
-// race tries the ways to the store, each as soon as the one before has failed
-// or has been silent for hedgeAfter, and returns the first answer with the
-// number of ways that were begun.
-func race[T any](ctx context.Context, r *Relay, name string, call func(context.Context, way) (T, error)) (answer T, tries int, err error) {
+// race tries the paths to the store, each as soon as the one before has failed or
+// has not answered within hedgeAfter. It returns the first answer and the number of
+// paths tried.
+func race[T any](ctx context.Context, r *Relay, name string, call func(context.Context, path) (T, error)) (answer T, tries int, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	ways := r.ways()
-	results := make(chan result[T], len(ways))
+	paths := r.paths()
+	results := make(chan result[T], len(paths))
 	begin := func() {
-		w, peer := ways[tries], tries > 0
+		p, peer := paths[tries], tries > 0
 		tries++
 		go func() {
-			a, err := call(ctx, w)
+			a, err := call(ctx, p)
 			results <- result[T]{a, err, peer}
 		}()
 	}
@@ -150,18 +151,18 @@
 			failures = append(failures, got.err)
 		}
 		switch {
-		case tries < len(ways):
+		case tries < len(paths):
 			begin()
 			hedge.Reset(hedgeAfter)
-		case len(failures) == len(ways):
+		case len(failures) == len(paths):
 			return answer, tries, errors.Join(failures...)
 		}
 	}
 }
 
-// answered logs when the way to the store changes.
+// answered logs when answers change between the direct path and peers.
 func (r *Relay) answered(name string, peer bool, err error) {
-	if r.away.Swap(peer) == peer {
+	if r.answeredByPeer.Swap(peer) == peer {
 		return
 	}
 	if peer {
@@ -171,7 +172,7 @@
 	r.log.Info(decisions.EventDependencyRegained, "dependency", "store", "of", "lease", "service", name)
 }
 
-// direct is the way from this daemon.
+// direct is the path from this daemon to the store.
 type direct struct {
 	store       coordinator.LeaseStore
 	generations *generations.Tracker
@@ -188,8 +189,8 @@
 	return a, err
 }
 
-// write does not send a condition on a version of an older generation than the store's: its revision
-// may by now be that of another content.
+// write does not send a condition with a version of an older generation than the store's, as its
+// revision may by now be that of other content.
 func (d direct) write(ctx context.Context, name string, expected storeversion.Version, record json.RawMessage) (writeAnswer, error) {
 	if d.generations.Outdated(expected) {
 		return writeAnswer{protocol.WriteConflict, storeversion.Version{Generation: d.generations.Highest()}}, nil
@@ -201,42 +202,43 @@
 	return writeAnswer{outcome, version}, err
 }
 
-// errNoAnswer says that the store gave no usable answer to a write.
+// errNoAnswer is returned when the store gave no usable answer to a write.
 var errNoAnswer = errors.New("the store gave no usable answer")
 
-// through is the way through another daemon.
-type through struct {
+// viaPeer is the path to the store through another daemon.
+type viaPeer struct {
 	peer        Peer
 	generations *generations.Tracker
 }
 
-// heard returns a version that another daemon has told.
-func (t through) heard(generation, revision uint64) storeversion.Version {
+// observe records the generation that a peer has reported and returns the version.
+func (t viaPeer) observe(generation, revision uint64) storeversion.Version {
 	t.generations.Observe(generation, "peer")
 	return storeversion.Version{Generation: generation, Revision: revision}
 }
 
-func (t through) read(ctx context.Context, name string) (readAnswer, error) {
+func (t viaPeer) read(ctx context.Context, name string) (readAnswer, error) {
 	resp, err := t.peer.ReadLease(ctx, &fleetpb.ReadLeaseRequest{Name: name})
 	if err != nil {
 		return readAnswer{}, err
 	}
-	return readAnswer{resp.Found, t.heard(resp.Generation, resp.Version), resp.Record}, nil
+	return readAnswer{resp.Found, t.observe(resp.Generation, resp.Version), resp.Record}, nil
 }
 
-func (t through) write(ctx context.Context, name string, expected storeversion.Version, record json.RawMessage) (writeAnswer, error) {
+func (t viaPeer) write(ctx context.Context, name string, expected storeversion.Version, record json.RawMessage) (writeAnswer, error) {
 	resp, err := t.peer.WriteLease(ctx, &fleetpb.WriteLeaseRequest{Name: name, Expected: expected.Revision, Generation: expected.Generation, Record: record})
 	if err != nil {
 		return writeAnswer{}, err
 	}
-	a := writeAnswer{protocol.WriteConflict, t.heard(resp.Generation, resp.Version)}
+	a := writeAnswer{protocol.WriteConflict, t.observe(resp.Generation, resp.Version)}
 	if resp.Written {
 		a.outcome = protocol.WriteOK
 	}
 	return a, nil
 }
 
-// Server answers other daemons from this daemon's own way to the store.
+// Server serves lease calls of other daemons over this daemon's direct path to the
+// store. Generations may be nil.
 type Server struct {
 	Store       coordinator.LeaseStore
 	Generations *generations.Tracker
