--- a/cmd/doorvalve-bench/policy.go
+++ b/cmd/doorvalve-bench/policy.go
@@ -93,7 +93,7 @@
 		for _, v := range variants(b, s.weight) {
 			r := replay.Run(replay.Options{
 				Bundle: b, Service: s.service, Arrivals: arrivals, Length: time.Duration(c.Days) * 24 * time.Hour,
-				Policy: v.policy, Eviction: v.eviction, Service1: serviceTime, QueueLen: queueLength,
+				Policy: v.policy, Eviction: v.eviction, ServiceTime: serviceTime, QueueLen: queueLength,
 			})
 			fmt.Printf("| %s | %d | %.1f | %.1f | %.0f | %.1f | %d | %d |\n", v.name, len(r.Cold), replay.Quantile(r.Cold, 0.5).Seconds(),
 				replay.Quantile(r.Cold, 0.99).Seconds(), replay.Sum(r.Cold).Seconds(), r.IdleHours, r.Loads, r.Refused)
@@ -169,7 +169,7 @@
 		}{{"by worth", replay.ByWorth}, {"first come first served", replay.FirstComeFirstServed}} {
 			r := replay.Run(replay.Options{
 				Bundle: b, Service: s.service, Arrivals: arrivals, Length: overloadLength + 10*time.Minute,
-				Policy: replay.Never, Admission: o.order, Service1: serviceTime, QueueLen: queueLength,
+				Policy: replay.Never, Admission: o.order, ServiceTime: serviceTime, QueueLen: queueLength,
 			})
 			for _, class := range classes {
 				cr := r.Classes[class]
--- a/cmd/doorvalvectl/commands.go
+++ b/cmd/doorvalvectl/commands.go
@@ -30,7 +30,7 @@
 }
 
 // Checked is the answer of a check.
-type Checked struct {
+type CheckResult struct {
 	File   string        `json:"file"`
 	OK     bool          `json:"ok"`
 	Digest string        `json:"digest,omitempty"`
@@ -44,7 +44,7 @@
 		return err
 	}
 	_, err = bundle.Parse(c.File, content)
-	checked := Checked{File: c.File, OK: err == nil}
+	checked := CheckResult{File: c.File, OK: err == nil}
 	errors.As(err, &checked.Issues)
 	if err == nil {
 		checked.Digest = bundle.Digest(content)
@@ -122,7 +122,7 @@
 	if err != nil {
 		return err
 	}
-	var p operators.Proposed
+	var p operators.ProposeResponse
 	if err := json.Unmarshal(answer, &p); err != nil {
 		return err
 	}
@@ -304,5 +304,5 @@
 	if err != nil {
 		return err
 	}
-	return cl.print(Checked{File: c.File, OK: true}, func() { fmt.Printf("%s: ok\n", c.File) })
+	return cl.print(CheckResult{File: c.File, OK: true}, func() { fmt.Printf("%s: ok\n", c.File) })
 }
--- a/cmd/doorvalvectl/explain_test.go
+++ b/cmd/doorvalvectl/explain_test.go
@@ -90,7 +90,7 @@
 	owned := view
 	owned.Owned = &quota.View{Demand: 7}
 	got := endpointLimits([]daemon.Dump{{ID: "a", Limits: []quotas.LimitView{view}}, {ID: "b", Limits: []quotas.LimitView{owned}}, {ID: "c"}})
-	want := EndpointLimit{Endpoint: "app1", Rate: 2, HeardBy: "b", Daemons: 2, Demand: 7, Owner: "b"}
+	want := EndpointLimit{Endpoint: "app1", Rate: 2, ReportedBy: "b", Daemons: 2, Demand: 7, Owner: "b"}
 	if len(got) != 1 || got[0] != want {
 		t.Fatalf("%+v", got)
 	}
--- a/cmd/doorvalvectl/limits.go
+++ b/cmd/doorvalvectl/limits.go
@@ -14,12 +14,12 @@
 
 // EndpointLimit is what all daemons say of one endpoint's limit.
 type EndpointLimit struct {
-	Endpoint string  `json:"endpoint"`
-	Rate     float64 `json:"requests_per_second"`
-	HeardBy  string  `json:"heard_by"` // daemon that got the answer
-	Daemons  int     `json:"daemons"`  // that know of it
-	Demand   float64 `json:"demand_per_second"`
-	Owner    string  `json:"owner"` // daemon that gives it out
+	Endpoint   string  `json:"endpoint"`
+	Rate       float64 `json:"requests_per_second"`
+	ReportedBy string  `json:"heard_by"` // daemon that got the answer
+	Daemons    int     `json:"daemons"`  // that know of it
+	Demand     float64 `json:"demand_per_second"`
+	Owner      string  `json:"owner"` // daemon that gives it out
 }
 
 // Run shows the endpoints that name a limit, by what all daemons named by --address say.
@@ -30,7 +30,7 @@
 		t := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 		fmt.Fprintln(t, "ENDPOINT\tLIMIT\tDEMAND\tKNOWN TO\tHEARD BY\tOWNER")
 		for _, l := range list {
-			fmt.Fprintf(t, "%s\t%g/s\t%.1f/s\t%d of %d\t%s\t%s\n", l.Endpoint, l.Rate, l.Demand, l.Daemons, len(dumps), l.HeardBy, l.Owner)
+			fmt.Fprintf(t, "%s\t%g/s\t%.1f/s\t%d of %d\t%s\t%s\n", l.Endpoint, l.Rate, l.Demand, l.Daemons, len(dumps), l.ReportedBy, l.Owner)
 		}
 		_ = t.Flush() // to the terminal
 	})
@@ -47,7 +47,7 @@
 		for _, v := range d.Limits {
 			l := byName[v.Endpoint]
 			if l == nil {
-				l = &EndpointLimit{Endpoint: v.Endpoint, Rate: v.Rate, HeardBy: v.Reporter}
+				l = &EndpointLimit{Endpoint: v.Endpoint, Rate: v.Rate, ReportedBy: v.Reporter}
 				byName[v.Endpoint] = l
 			}
 			l.Daemons++
--- a/cmd/doorvalvectl/workspaces.go
+++ b/cmd/doorvalvectl/workspaces.go
@@ -13,7 +13,7 @@
 type workspacesCmd struct{}
 
 // WorkspaceUse is what all daemons say of one workspace.
-type WorkspaceUse struct {
+type WorkspaceUsage struct {
 	Workspace string  `json:"workspace"`
 	Rate      float64 `json:"requests_per_second"` // 0: no quota
 	Burst     float64 `json:"burst"`
@@ -50,13 +50,13 @@
 }
 
 // workspaceUse adds up what daemons say.
-func workspaceUse(dumps []daemon.Dump) []WorkspaceUse {
-	byName := map[string]*WorkspaceUse{}
+func workspaceUse(dumps []daemon.Dump) []WorkspaceUsage {
+	byName := map[string]*WorkspaceUsage{}
 	for _, d := range dumps {
 		for _, v := range d.Workspaces {
 			w := byName[v.Workspace]
 			if w == nil {
-				w = &WorkspaceUse{Workspace: v.Workspace, Rate: v.Rate, Burst: v.Burst, Level: v.Burst}
+				w = &WorkspaceUsage{Workspace: v.Workspace, Rate: v.Rate, Burst: v.Burst, Level: v.Burst}
 				byName[v.Workspace] = w
 			}
 			w.Passed += v.Passed
@@ -66,10 +66,10 @@
 			}
 		}
 	}
-	list := make([]WorkspaceUse, 0, len(byName))
+	list := make([]WorkspaceUsage, 0, len(byName))
 	for _, w := range byName {
 		list = append(list, *w)
 	}
-	slices.SortFunc(list, func(a, b WorkspaceUse) int { return strings.Compare(a.Workspace, b.Workspace) })
+	slices.SortFunc(list, func(a, b WorkspaceUsage) int { return strings.Compare(a.Workspace, b.Workspace) })
 	return list
 }
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -128,7 +128,7 @@
 		Self: d.self, Members: d.gossip.Members, Peer: d.peers.Quarantines().To, Endpoint: d.endpointState, Store: d.platform, Generations: d.generations, Log: d.log.Component("quarantine"), Metrics: d.metrics,
 	})
 	d.quotas = quotas.New(quotas.Options{
-		Self: d.self, Members: d.gossip.Members, Revision: d.gossip.Revision, Directory: d.workspaces, Listed: d.endpointListed, Publish: d.gossip.Set, Limited: func(life fleet.Incarnation, w limit.Report) { d.throttle.SetLimit(life, w) }, Store: d.platform, Generations: d.generations, Peer: d.peers.Quotas().To, Log: d.log.Component("quotas"), Metrics: d.metrics,
+		Self: d.self, Members: d.gossip.Members, Revision: d.gossip.Revision, Directory: d.workspaces, Listed: d.endpointListed, Publish: d.gossip.Set, OnLimitChange: func(life fleet.Incarnation, w limit.Report) { d.throttle.SetLimit(life, w) }, Store: d.platform, Generations: d.generations, Peer: d.peers.Quotas().To, Log: d.log.Component("quotas"), Metrics: d.metrics,
 	})
 	d.throttle = throttle.New(throttle.Options{
 		Self: d.self, Tracker: d.said, Limits: d.quotas.Endpoints(), LastReady: func(fleet.Incarnation) time.Time { return time.Time{} },
@@ -140,7 +140,7 @@
 	d.callers = callers.New(callers.Options{
 		Self: d.self, Limits: set.Limits, Config: d.rollout.Current, Gate: d.gate, Members: d.gossip.Members, Phase: d.Phase,
 		Claimer: d.claimer, Quarantine: d.keeper, Quotas: d.quotas, Throttle: d.throttle, Proxy: proxy.New(set.Limits.AnswerBytes), Log: d.log.Component("callers"), Metrics: d.metrics,
-		EndpointLeaving: d.endpointLeaving,
+		OnEndpointLeaving: d.endpointLeaving,
 	})
 	return d, nil
 }
--- a/daemon/edgedaemon/daemon.go
+++ b/daemon/edgedaemon/daemon.go
@@ -147,7 +147,7 @@
 	})
 	d.shares = quotas.New(quotas.Options{
 		Self: d.self, Bounds: quota.Bounds{Window: set.Quotas.Window.D(), Overage: set.Quotas.Overage, Slack: set.Quotas.Slack, NewOwnerShare: quota.DefaultNewOwnerShare},
-		Members: d.gossip.Members, Revision: d.gossip.Revision, Directory: d.workspaces, Listed: d.endpointListed, Publish: d.gossip.Set, Limited: d.endpointLimited, Store: d.store, Generations: d.generations, Peer: d.peers.Quotas().To, Log: log, Metrics: d.metrics,
+		Members: d.gossip.Members, Revision: d.gossip.Revision, Directory: d.workspaces, Listed: d.endpointListed, Publish: d.gossip.Set, OnLimitChange: d.endpointLimited, Store: d.store, Generations: d.generations, Peer: d.peers.Quotas().To, Log: log, Metrics: d.metrics,
 	})
 	d.throttle = throttle.New(throttle.Options{
 		Self: d.self, Tracker: said, Limits: d.shares.Endpoints(), LastReady: d.endpointReadyAt, Daemons: func() int { return len(d.alive()) }, Listed: d.endpointListed, OnLeaving: d.view.ObserveLeaving, Publish: d.gossip.Set, Log: log, Metrics: d.metrics,
@@ -156,7 +156,7 @@
 	d.gossip.OnFact(d.throttle.ReceiveFact)
 	d.callers = edge.New(edge.Options{
 		StateAge: d.stateAge, Access: access.Bounds{Apply: set.Timing.ApplyWithin.D(), Revoke: set.Timing.RevokeWithin.D()}, Quotas: d.shares, Throttle: d.throttle,
-		Table: d.view.Table, View: d.view.Endpoints, ViewAge: d.endpointsAge, Draining: d.draining, Ends: d.ends, Dialect: platform.Dialect{}, Locator: d, Balancer: d.balancer,
+		Table: d.view.Table, View: d.view.Endpoints, ViewAge: d.endpointsAge, Draining: d.draining, DrainDeadline: d.ends, Dialect: platform.Dialect{}, Locator: d, Balancer: d.balancer,
 		Budget: d.budget, Quarantine: d.keeper, Log: log, Metrics: d.metrics,
 		FlushEvery:  time.Duration(float64(set.Timing.Pass.D()) * flushPart),
 		Connections: int64(float64(set.Limits.Descriptors) * requestsPerDescriptor),
--- a/daemon/edgedaemon/demand.go
+++ b/daemon/edgedaemon/demand.go
@@ -21,7 +21,7 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-d.callers.DemandTurned():
+		case <-d.callers.DemandChanged():
 			pace.ObserveChange(time.Now(), alive)
 		case <-d.callers.PlaceFreed():
 			pace.ObserveFreed(time.Now(), alive)
--- a/driver/claimer/claimer.go
+++ b/driver/claimer/claimer.go
@@ -256,7 +256,7 @@
 	ctx := context.Background()
 	out := protocol.WriteOK
 	if w.Seal != nil {
-		_, out = s.platform.Put(ctx, platform.KindSegment, w.SealName, s.platform.Absent(), w.Seal)
+		_, out = s.platform.Put(ctx, platform.KindSegment, w.SealName, s.platform.IfAbsent(), w.Seal)
 	}
 	var version storeversion.Version
 	if out == protocol.WriteOK {
--- a/driver/quarantiner/quarantiner_test.go
+++ b/driver/quarantiner/quarantiner_test.go
@@ -511,7 +511,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		in := newInstallation(5, 9, 1)
 		defer in.stop()
-		copied := in.store.CopyNow()
+		copied := in.store.Backup()
 		time.Sleep(2 * time.Second)
 		for i := range 3 {
 			crashUnder(in.hosts[i], "bad", fmt.Sprint("x", i))
--- a/driver/quotas/endpoints.go
+++ b/driver/quotas/endpoints.go
@@ -150,7 +150,7 @@
 	if c.Before.Limited == c.Now.Limited && c.Before.Rate == c.Now.Rate {
 		return
 	}
-	e.opt.Limited(c.Incarnation, c.Now)
+	e.opt.OnLimitChange(c.Incarnation, c.Now)
 	wake.Once(e.news)
 	if c.Before.Limited != c.Now.Limited || c.Publish {
 		e.opt.Log.Info(decisions.EventEndpointLimit, "endpoint", c.Incarnation.ID, "born", c.Incarnation.StartUnixMs, "limited", c.Now.Limited, "rate", c.Now.Rate, "before", c.Before.Rate, "heard_by", c.Now.Reporter, "age_ms", now.UnixMilli()-int64(c.Now.Version))
--- a/driver/quotas/endpoints_test.go
+++ b/driver/quotas/endpoints_test.go
@@ -197,7 +197,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		in := newInstallation(7, 1)
 		defer in.end()
-		copied := in.store.CopyNow()
+		copied := in.store.Backup()
 		e := newTarget(in)
 		time.Sleep(5 * time.Second)
 		e.say(2, true)
--- a/driver/quotas/fleet_test.go
+++ b/driver/quotas/fleet_test.go
@@ -82,7 +82,7 @@
 	in := &installation{
 		log: decisions.New(io.Discard, "test", hclog.Off), rng: rand.New(rand.NewPCG(seed, 0)),
 		bounds:    quota.Bounds{Window: 8 * time.Second, Overage: 0.1, Slack: 17000, NewOwnerShare: quota.DefaultNewOwnerShare},
-		directory: workspace.NewDirectory(list), version: 1, passed: map[string][]passed{}, refused: map[string]int{}, offered: map[string][]passed{}, store: &record.Store{Takes: storeTakes},
+		directory: workspace.NewDirectory(list), version: 1, passed: map[string][]passed{}, refused: map[string]int{}, offered: map[string][]passed{}, store: &record.Store{Latency: storeTakes},
 	}
 	in.heard = generations.New(in.log, tally.NoopScope)
 	for i := range hosts {
--- a/driver/quotas/quotas.go
+++ b/driver/quotas/quotas.go
@@ -55,8 +55,8 @@
 	Listed func(fleet.Incarnation) bool
 	// Tell offers a fact to all daemons, and Limited is told of each limit of an endpoint
 	// that begins, changes or ends here; nil: nobody is.
-	Publish func(membership.Entry)
-	Limited func(fleet.Incarnation, limit.Report)
+	Publish       func(membership.Entry)
+	OnLimitChange func(fleet.Incarnation, limit.Report)
 	// Store keeps what must outlast all daemons; nil: nothing does.
 	Store record.Store
 	// Generations keeps the highest generation of the store; nil: it names none.
@@ -92,8 +92,8 @@
 	if opt.Publish == nil {
 		opt.Publish = func(membership.Entry) {}
 	}
-	if opt.Limited == nil {
-		opt.Limited = func(fleet.Incarnation, limit.Report) {}
+	if opt.OnLimitChange == nil {
+		opt.OnLimitChange = func(fleet.Incarnation, limit.Report) {}
 	}
 	m, l := opt.Metrics.SubScope("quota"), opt.Metrics.SubScope("limit")
 	k := &Controller{opt: opt, metrics: metrics{
--- a/driver/quotas/workspaces.go
+++ b/driver/quotas/workspaces.go
@@ -17,7 +17,7 @@
 )
 
 // ReasonOver is the reason of a refusal of what is beyond a workspace's quota.
-const ReasonOver = "quota-exceeded"
+const ReasonQuotaExceeded = "quota-exceeded"
 
 // workspaces keeps to the quotas of workspaces.
 type workspaces struct {
@@ -77,7 +77,7 @@
 	}
 	s.over[w.Name] = now
 	detail := fmt.Sprintf("workspace %q is over its quota of %.0f a second; this request takes %.0f", w.Name, w.Quota.Rate, cost)
-	return protocol.Refuse(http.StatusTooManyRequests, ReasonOver, detail, after)
+	return protocol.Refuse(http.StatusTooManyRequests, ReasonQuotaExceeded, detail, after)
 }
 
 // tagged bounds the workspaces with a counter of their own: the first that are refused
--- a/driver/rollout/actions.go
+++ b/driver/rollout/actions.go
@@ -17,7 +17,7 @@
 
 // ErrUnsettled says that the platform did not answer and that the change may
 // have been accepted.
-var ErrUnsettled = errors.New("the platform did not answer; the change may have been accepted: look at the status before trying again")
+var ErrOutcomeUnknown = errors.New("the platform did not answer; the change may have been accepted: look at the status before trying again")
 
 // readBacks is how often a lost answer is looked after before giving up.
 const readBacks = 3
@@ -52,7 +52,7 @@
 // digest, so an existing one is the same.
 func (r *Rollout) create(ctx context.Context, kind platform.Kind, name string, v any) error {
 	for range readBacks {
-		if _, out := r.platform.Put(ctx, kind, name, r.platform.Absent(), v); out != protocol.WriteUnknown {
+		if _, out := r.platform.Put(ctx, kind, name, r.platform.IfAbsent(), v); out != protocol.WriteUnknown {
 			return nil
 		}
 		var any json.RawMessage
@@ -60,7 +60,7 @@
 			return nil
 		}
 	}
-	return ErrUnsettled
+	return ErrOutcomeUnknown
 }
 
 // SignOff records that who has reviewed the exact digest.
@@ -82,7 +82,7 @@
 			return nil
 		}
 	}
-	return ErrUnsettled
+	return ErrOutcomeUnknown
 }
 
 // Advance rolls a signed-off digest out. expected is the generation that the
@@ -113,7 +113,7 @@
 			return next, nil
 		}
 	}
-	return rules.Pointer{}, ErrUnsettled
+	return rules.Pointer{}, ErrOutcomeUnknown
 }
 
 // Pointer reads the pointer with its history.
@@ -150,5 +150,5 @@
 			continue
 		}
 	}
-	return ErrUnsettled
+	return ErrOutcomeUnknown
 }
--- a/e2e/answers_test.go
+++ b/e2e/answers_test.go
@@ -54,7 +54,7 @@
 		t.Fatalf("warm-up: %d %v", r.status, r.refusal)
 	}
 	for _, e := range w.engines {
-		e.CrossAnswers(true)
+		e.SetWrongAttemptID(true)
 	}
 	text, r := w.daemons[1].complete("m0", "x", 4, protocol.HeaderTimeout, "3000")
 	if r.ok() || text != "" || r.refusal.Verdict == protocol.NotRun {
@@ -65,7 +65,7 @@
 		t.Errorf("stream: status %d, text %q, whole %v", r.status, text, whole)
 	}
 	for _, e := range w.engines {
-		e.CrossAnswers(false)
+		e.SetWrongAttemptID(false)
 	}
 	w.eventually("served again", func() bool {
 		text, r := w.daemons[1].complete("m0", "x", 4)
--- a/e2e/backpressure_test.go
+++ b/e2e/backpressure_test.go
@@ -24,7 +24,7 @@
 // cameBetween returns how many calls came to a service in some time.
 func cameBetween(s *service.Service, from, to time.Time) int {
 	n := 0
-	for _, at := range s.Arrived() {
+	for _, at := range s.Arrivals() {
 		if at.After(from) && at.Before(to) {
 			n++
 		}
--- a/e2e/harness_test.go
+++ b/e2e/harness_test.go
@@ -337,7 +337,7 @@
 func (p *proc) propose(b bundle.Bundle) string {
 	p.w.t.Helper()
 	content, _ := json.Marshal(b)
-	var proposed operators.Proposed
+	var proposed operators.ProposeResponse
 	if _, err := p.operate("anna", "POST", "/v1/bundles", content, &proposed); err != nil {
 		p.w.t.Fatal(err)
 	}
--- a/e2e/limits_test.go
+++ b/e2e/limits_test.go
@@ -29,7 +29,7 @@
 	services[0].SetRateLimit(says)
 	named := time.Now()
 	served, all := w.press(known + 2*window)
-	arrived := services[0].Arrived()
+	arrived := services[0].Arrivals()
 	worst, first := 0, 0
 	for i, at := range arrived {
 		for at.Sub(arrived[first]) > window || arrived[first].Before(named.Add(known)) && first < i {
@@ -44,9 +44,9 @@
 		t.Errorf("%d of %d served though another endpoint has room", served, all)
 	}
 	services[0].SetRateLimit("")
-	before := len(services[0].Arrived())
+	before := len(services[0].Arrivals())
 	w.press(5 * time.Second)
-	if n := len(services[0].Arrived()) - before; n < 60 {
+	if n := len(services[0].Arrivals()) - before; n < 60 {
 		t.Errorf("%d requests in the 5 s after the limit had ended", n)
 	}
 	services[0].SetRateLimit("0")
--- a/e2e/log_test.go
+++ b/e2e/log_test.go
@@ -71,7 +71,7 @@
 		t.Errorf("refused: %+v", l)
 	}
 	for _, e := range w.engines {
-		e.CrossAnswers(true)
+		e.SetWrongAttemptID(true)
 	}
 	_, crossed := w.daemons[0].complete("m0", "y", 2, protocol.HeaderTimeout, "3000")
 	id := crossed.header.Get(protocol.HeaderRequestID)
--- a/e2e/overload_test.go
+++ b/e2e/overload_test.go
@@ -264,7 +264,7 @@
 		}
 	}
 	for name, e := range w.engines {
-		if e.Forget("m0") {
+		if e.DropUnit("m0") {
 			t.Logf("%s has lost m0", name)
 		}
 	}
--- a/e2e/restore_test.go
+++ b/e2e/restore_test.go
@@ -14,7 +14,7 @@
 	if _, r := a.complete("m0", "one", 5); !r.ok() {
 		t.Fatalf("%+v", r)
 	}
-	copied := w.platform.CopyNow()
+	copied := w.platform.Backup()
 	w.rollout(withNote(w.bundle, 33))
 	w.inForce(2)
 	if _, err := a.operate("anna", "POST", "/v1/endpoints/app0/drain", nil, nil); err != nil {
--- a/replay/replay.go
+++ b/replay/replay.go
@@ -28,15 +28,15 @@
 
 // Options describe one run.
 type Options struct {
-	Bundle    *bundle.Bundle
-	Service   string // the engine service to replay
-	Arrivals  []Arrival
-	Length    time.Duration
-	Policy    placement.Policy
-	Eviction  placement.Eviction
-	Admission Admission
-	Service1  time.Duration // time of one request at an engine
-	QueueLen  int
+	Bundle      *bundle.Bundle
+	Service     string // the engine service to replay
+	Arrivals    []Arrival
+	Length      time.Duration
+	Policy      placement.Policy
+	Eviction    placement.Eviction
+	Admission   Admission
+	ServiceTime time.Duration // time of one request at an engine
+	QueueLen    int
 }
 
 // Arrival is one request.
@@ -217,7 +217,7 @@
 			slots += e.conf.Slots
 		}
 	}
-	return admission.Estimate{Ready: w.Time, Service: r.opt.Service1, Slots: float64(slots), RefuseReason: w.Reason, RetryAfter: w.RetryAfter}
+	return admission.Estimate{Ready: w.Time, Service: r.opt.ServiceTime, Slots: float64(slots), RefuseReason: w.Reason, RetryAfter: w.RetryAfter}
 }
 
 func (r *run) refuse(list []admission.Refused) {
@@ -371,7 +371,7 @@
 		ep.units[unit].Running++
 		ep.dirty = true
 		r.inFlight[unit]++
-		r.active = append(r.active, running{ends: r.now.Add(r.opt.Service1), ep: ep, unit: unit})
+		r.active = append(r.active, running{ends: r.now.Add(r.opt.ServiceTime), ep: ep, unit: unit})
 		r.served(req)
 	}
 }
@@ -407,7 +407,7 @@
 	if req.cold {
 		r.res.Cold = append(r.res.Cold, wait)
 	}
-	if r.now.Add(r.opt.Service1).After(req.deadline) {
+	if r.now.Add(r.opt.ServiceTime).After(req.deadline) {
 		r.res.Late++
 	}
 	c := r.res.Classes[req.Class]
--- a/replay/replay_test.go
+++ b/replay/replay_test.go
@@ -26,7 +26,7 @@
 const day = 24 * time.Hour
 
 func replayDay(b *bundle.Bundle, service string, arrivals []Arrival, p placement.Policy, e placement.Eviction) Result {
-	return Run(Options{Bundle: b, Service: service, Arrivals: arrivals, Length: day, Policy: p, Eviction: e, Service1: 2 * time.Second, QueueLen: 256})
+	return Run(Options{Bundle: b, Service: service, Arrivals: arrivals, Length: day, Policy: p, Eviction: e, ServiceTime: 2 * time.Second, QueueLen: 256})
 }
 
 // The learned policy stays better than fixed idle times on one measure without
@@ -82,7 +82,7 @@
 		}
 		arrivals := Overload(b, c.service, units, classes, 2, 2*time.Second, time.Minute, 1)
 		worth := func(a Admission) Result {
-			return Run(Options{Bundle: b, Service: c.service, Arrivals: arrivals, Length: 10 * time.Minute, Policy: Never, Admission: a, Service1: 2 * time.Second, QueueLen: 256})
+			return Run(Options{Bundle: b, Service: c.service, Arrivals: arrivals, Length: 10 * time.Minute, Policy: Never, Admission: a, ServiceTime: 2 * time.Second, QueueLen: 256})
 		}
 		ours, fcfs := worth(ByWorth), worth(FirstComeFirstServed)
 		t.Logf("%s: worth %d by worth, %d first come first served", c.file, ours.Worth, fcfs.Worth)
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -55,14 +55,14 @@
 
 // Stats are the engine's own counts, the judge in tests.
 type Stats struct {
-	Runs          map[string]int `json:"runs"` // by request id
-	Loads         map[string]int `json:"loads"`
-	Overcommitted int            `json:"overcommitted"`
-	RefusedOld    int            `json:"refused_old_fence"`
-	PeakMemoryMiB int64          `json:"peak_memory_mib"`
-	PeakRunning   int            `json:"peak_running"`
-	Orders        int            `json:"orders"`
-	LastStart     time.Time      `json:"last_start"` // of the newest request
+	Runs              map[string]int `json:"runs"` // by request id
+	Loads             map[string]int `json:"loads"`
+	Overcommitted     int            `json:"overcommitted"`
+	RefusedStaleFence int            `json:"refused_old_fence"`
+	PeakMemoryMiB     int64          `json:"peak_memory_mib"`
+	PeakRunning       int            `json:"peak_running"`
+	Orders            int            `json:"orders"`
+	LastStart         time.Time      `json:"last_start"` // of the newest request
 }
 
 // New returns an engine with nothing loaded.
@@ -117,7 +117,7 @@
 }
 
 // CrossAnswers makes the engine answer under another attempt's id.
-func (e *Engine) CrossAnswers(yes bool) {
+func (e *Engine) SetWrongAttemptID(yes bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.crossed = yes
@@ -194,7 +194,7 @@
 	defer e.mu.Unlock()
 	e.stats.Orders++
 	if e.opt.ChecksFencing && o.Fence < e.fence {
-		e.stats.RefusedOld++
+		e.stats.RefusedStaleFence++
 		http.Error(w, "old fencing number", http.StatusPreconditionFailed)
 		return
 	}
@@ -277,7 +277,7 @@
 
 // Forget drops a unit, as an engine does that was restarted. It reports
 // whether the unit was there.
-func (e *Engine) Forget(unit string) bool {
+func (e *Engine) DropUnit(unit string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	_, ok := e.units[unit]
--- a/standin/platform/platform.go
+++ b/standin/platform/platform.go
@@ -142,22 +142,22 @@
 }
 
 // Copy is what a platform can be restored from.
-type Copy struct {
+type Backup struct {
 	revision uint64
 	objects  map[string]*Object
 	log      []Object
 }
 
 // CopyNow returns what the platform can be restored from later.
-func (p *Platform) CopyNow() Copy {
+func (p *Platform) Backup() Backup {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return Copy{p.revision, maps.Clone(p.objects), slices.Clone(p.log)}
+	return Backup{p.revision, maps.Clone(p.objects), slices.Clone(p.log)}
 }
 
 // Restore brings the objects back from a copy: what was acknowledged since is lost, and its versions
 // are given out again. Watches that wait end.
-func (p *Platform) Restore(c Copy) {
+func (p *Platform) Restore(c Backup) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.generation++
@@ -284,7 +284,7 @@
 }
 
 // Watched is the answer to a watch.
-type Watched struct {
+type WatchResponse struct {
 	Revision uint64   `json:"revision"`
 	Objects  []Object `json:"objects"` // of the kinds asked for
 }
@@ -326,10 +326,10 @@
 	}
 }
 
-func (p *Platform) since(revision uint64, kinds []string) (Watched, chan struct{}) {
+func (p *Platform) since(revision uint64, kinds []string) (WatchResponse, chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	found := Watched{Revision: p.revision}
+	found := WatchResponse{Revision: p.revision}
 	first, _ := slices.BinarySearchFunc(p.log, revision+1, func(o Object, v uint64) int {
 		switch {
 		case o.Version < v:
--- a/standin/record/record.go
+++ b/standin/record/record.go
@@ -15,7 +15,7 @@
 // Store keeps one record. It is safe for concurrent use.
 type Store struct {
 	// Takes is the time that each call takes.
-	Takes time.Duration
+	Latency time.Duration
 
 	mu      sync.Mutex
 	raw     []byte
@@ -24,7 +24,7 @@
 }
 
 // Copy is what a Store can be restored from.
-type Copy struct {
+type Backup struct {
 	raw     []byte
 	version storeversion.Version
 }
@@ -37,14 +37,14 @@
 }
 
 // CopyNow returns what the store can be restored from later.
-func (s *Store) CopyNow() Copy {
+func (s *Store) Backup() Backup {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return Copy{s.raw, s.version}
+	return Backup{s.raw, s.version}
 }
 
 // Restore brings the store back from a copy, as its next generation.
-func (s *Store) Restore(c Copy) {
+func (s *Store) Restore(c Backup) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.raw, s.version = c.raw, storeversion.Version{Generation: s.version.Generation + 1, Revision: c.version.Revision}
@@ -59,7 +59,7 @@
 
 // ReadRecord returns the record, whatever its name.
 func (s *Store) ReadRecord(_ context.Context, _ string, v any) (storeversion.Version, error) {
-	time.Sleep(s.Takes)
+	time.Sleep(s.Latency)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls++
@@ -71,7 +71,7 @@
 
 // WriteRecord replaces the record if its revision is the one expected.
 func (s *Store) WriteRecord(_ context.Context, _ string, expected storeversion.Version, v any) (storeversion.Version, protocol.WriteOutcome, error) {
-	time.Sleep(s.Takes)
+	time.Sleep(s.Latency)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls++
--- a/standin/service/service.go
+++ b/standin/service/service.go
@@ -76,7 +76,7 @@
 }
 
 // Arrived returns when calls have come.
-func (s *Service) Arrived() []time.Time {
+func (s *Service) Arrivals() []time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.arrived)
--- a/standin/store/store.go
+++ b/standin/store/store.go
@@ -22,7 +22,7 @@
 // Counts are the store's totals.
 type Counts struct {
 	Fetches int `json:"fetches"`
-	Now     int `json:"now"`
+	Active  int `json:"now"`
 	Peak    int `json:"peak"`
 }
 
@@ -104,8 +104,8 @@
 func (s *Store) enter(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.counts.Now += n
-	s.counts.Peak = max(s.counts.Peak, s.counts.Now)
+	s.counts.Active += n
+	s.counts.Peak = max(s.counts.Peak, s.counts.Active)
 	if n > 0 {
 		s.counts.Fetches++
 	}
@@ -114,5 +114,5 @@
 func (s *Store) speed() float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return min(1, float64(s.opt.AtOnce)/float64(max(1, s.counts.Now))) / s.slow
+	return min(1, float64(s.opt.AtOnce)/float64(max(1, s.counts.Active))) / s.slow
 }
--- a/transport/callers/call.go
+++ b/transport/callers/call.go
@@ -307,14 +307,14 @@
 	req := &proxy.Request{
 		Method: cl.method, URI: cl.uri, Header: cl.header, Body: cl.body, RequestID: cl.id,
 		AttemptID: cl.id + "." + strconv.Itoa(n), Worth: cl.worth, Repeatable: cl.key == nil, MustEcho: cl.engine,
-		Heard: func(says protocol.Backpressure, whole bool) { s.heard(cl, slot.Endpoint, sent, says, whole) },
+		ObserveBackpressure: func(says protocol.Backpressure, whole bool) { s.heard(cl, slot.Endpoint, sent, says, whole) },
 	}
 	var f *proxy.Failure
 	var whole *proxy.Answer
 	if cl.stream {
 		f = s.opt.Proxy.Stream(ctx, slot.Endpoint.Address, req, &out.progress, out)
 	} else {
-		whole, f = s.opt.Proxy.Whole(ctx, slot.Endpoint.Address, req)
+		whole, f = s.opt.Proxy.Do(ctx, slot.Endpoint.Address, req)
 	}
 	if f != nil && f.Reason == proxy.ReasonUnreachable {
 		s.opt.Throttle.Refund(cl.pass)
@@ -417,7 +417,7 @@
 func (a *answer) started() bool { return a.begun }
 
 // Event implements proxy.Sink.
-func (a *answer) Event(data []byte) error {
+func (a *answer) WriteEvent(data []byte) error {
 	if !a.begun {
 		a.begun = true
 		a.w.Header().Set("Content-Type", "text/event-stream")
--- a/transport/callers/server.go
+++ b/transport/callers/server.go
@@ -53,7 +53,7 @@
 	Log      *decisions.Log
 	Metrics  tally.Scope
 	// EndpointLeaving is told of an endpoint that says it takes no new work.
-	EndpointLeaving func(endpoint string)
+	OnEndpointLeaving func(endpoint string)
 }
 
 // Server is safe for concurrent use.
--- a/transport/callers/shut.go
+++ b/transport/callers/shut.go
@@ -66,7 +66,7 @@
 func (s *Server) heard(cl *call, e bundle.Endpoint, sent time.Time, says protocol.Backpressure, whole bool) {
 	if says.Leaving {
 		says.Leaving = false
-		s.opt.EndpointLeaving(e.Name)
+		s.opt.OnEndpointLeaving(e.Name)
 	}
 	s.opt.Throttle.ObserveAnswer(throttle.Answer{Incarnation: lifeOf(e), Slots: e.Slots, Request: cl.id, Sent: sent, Signals: says, Authoritative: whole})
 }
--- a/transport/edge/arrive.go
+++ b/transport/edge/arrive.go
@@ -84,7 +84,7 @@
 
 // accept refuses what this daemon has no time or room for.
 func (s *Server) accept(_ context.Context, q *request) *protocol.Refusal {
-	if s.opt.Draining() && q.route.Kind == routing.Streaming && time.Until(s.opt.Ends()) < lastStream {
+	if s.opt.Draining() && q.route.Kind == routing.Streaming && time.Until(s.opt.DrainDeadline()) < lastStream {
 		return protocol.Refuse(http.StatusServiceUnavailable, "stopping", "this daemon stops before the stream would end", retryDraining)
 	}
 	if q.active > s.opt.Connections {
--- a/transport/edge/demand.go
+++ b/transport/edge/demand.go
@@ -68,7 +68,7 @@
 }
 
 // DemandTurned receives when a model has begun or ceased to run at an endpoint.
-func (s *Server) DemandTurned() <-chan struct{} { return s.turned }
+func (s *Server) DemandChanged() <-chan struct{} { return s.turned }
 
 // PlaceFreed receives when a model has ceased to run at an endpoint that the coordinator
 // had named for it: it may put another in its place at once.
--- a/transport/edge/demand_test.go
+++ b/transport/edge/demand_test.go
@@ -14,7 +14,7 @@
 
 func turned(s *Server) bool {
 	select {
-	case <-s.DemandTurned():
+	case <-s.DemandChanged():
 		return true
 	default:
 		return false
--- a/transport/edge/locate.go
+++ b/transport/edge/locate.go
@@ -141,7 +141,7 @@
 // stopsBefore reports whether this daemon stops before a request that can begin after a wait would
 // be answered.
 func (s *Server) stopsBefore(wait time.Duration) bool {
-	ends := s.opt.Ends()
+	ends := s.opt.DrainDeadline()
 	return !ends.IsZero() && time.Until(ends) < wait+lastWait
 }
 
--- a/transport/edge/server.go
+++ b/transport/edge/server.go
@@ -49,11 +49,11 @@
 	Draining func() bool
 	// Ends returns when a draining daemon ends what is in progress; zero while
 	// it serves.
-	Ends     func() time.Time
-	Dialect  protocol.Dialect
-	Locator  Locator
-	Balancer *balance.Balancer
-	Budget   *retry.Budget
+	DrainDeadline func() time.Time
+	Dialect       protocol.Dialect
+	Locator       Locator
+	Balancer      *balance.Balancer
+	Budget        *retry.Budget
 	// StateAge returns how old the desired state that Table returns afterwards may be.
 	StateAge func() time.Duration
 	// Access bounds how long keys are taken on a view of some age.
--- a/transport/operators/server.go
+++ b/transport/operators/server.go
@@ -123,7 +123,7 @@
 }
 
 // Proposed is the answer to a proposal.
-type Proposed struct {
+type ProposeResponse struct {
 	Digest string `json:"digest"`
 }
 
@@ -137,7 +137,7 @@
 		return fail(c, err)
 	}
 	s.opt.Log.Info(decisions.EventProposed, "digest", rules.Short(digest), "operator", operator(c))
-	return c.JSON(http.StatusCreated, Proposed{Digest: digest})
+	return c.JSON(http.StatusCreated, ProposeResponse{Digest: digest})
 }
 
 func (s *Server) content(c echo.Context) error {
--- a/transport/platform/client.go
+++ b/transport/platform/client.go
@@ -208,7 +208,7 @@
 }
 
 // Absent returns the condition that an object must not exist.
-func (c *Client) Absent() storeversion.Version {
+func (c *Client) IfAbsent() storeversion.Version {
 	return storeversion.Version{Generation: c.opt.Generations.Highest()}
 }
 
@@ -219,7 +219,7 @@
 }
 
 // Watched is the answer to a watch.
-type Watched struct {
+type WatchResult struct {
 	Revision   uint64   `json:"revision"`
 	Objects    []Object `json:"objects"`
 	Generation uint64   `json:"-"` // of the revisions
@@ -227,12 +227,12 @@
 
 // Watch waits up to wait for a change of one of the kinds after a version. It returns
 // ErrHistoryLost where the platform's objects have come back from a copy since.
-func (c *Client) Watch(ctx context.Context, kinds []Kind, since storeversion.Version, wait time.Duration) (Watched, error) {
+func (c *Client) Watch(ctx context.Context, kinds []Kind, since storeversion.Version, wait time.Duration) (WatchResult, error) {
 	names := make([]string, len(kinds))
 	for i, k := range kinds {
 		names[i] = string(k)
 	}
-	var w Watched
+	var w WatchResult
 	path := fmt.Sprintf("/watch?kinds=%s&since=%d&wait_ms=%d", strings.Join(names, ","), since.Revision, wait.Milliseconds())
 	a, err := c.getJSON(ctx, path, wait+c.opt.Timeout, &w)
 	if err == nil && a.generation != since.Generation && !since.Absent() {
--- a/transport/proxy/proxy.go
+++ b/transport/proxy/proxy.go
@@ -34,7 +34,7 @@
 	MustEcho bool
 	// Heard takes what the endpoint says of itself, if it answers; whole says that what is not
 	// said counts, too. nil: nobody does.
-	Heard func(says protocol.Backpressure, whole bool)
+	ObserveBackpressure func(says protocol.Backpressure, whole bool)
 }
 
 // Failure is an attempt without a whole answer.
@@ -134,8 +134,8 @@
 }
 
 func (r *Request) heard(says protocol.Backpressure, whole bool) {
-	if r.Heard != nil {
-		r.Heard(says, whole)
+	if r.ObserveBackpressure != nil {
+		r.ObserveBackpressure(says, whole)
 	}
 }
 
@@ -187,7 +187,7 @@
 }
 
 // Whole returns an endpoint's whole answer, or a failure; never a part.
-func (c *Client) Whole(ctx context.Context, address string, r *Request) (*Answer, *Failure) {
+func (c *Client) Do(ctx context.Context, address string, r *Request) (*Answer, *Failure) {
 	resp, f := c.send(ctx, address, r)
 	if f != nil {
 		return nil, f
--- a/transport/proxy/stream.go
+++ b/transport/proxy/stream.go
@@ -22,7 +22,7 @@
 // Sink takes a stream on its way to the caller.
 type Sink interface {
 	// Event takes the data of one event, in order and without gaps.
-	Event(data []byte) error
+	WriteEvent(data []byte) error
 }
 
 // ErrCallerGone says that the sink does not take the stream any more.
@@ -82,7 +82,7 @@
 	case offset != p.Offset+1:
 		return &Failure{Verdict: protocol.MayHaveRun, Reason: "stream-gap"}
 	}
-	if err := sink.Event(data); err != nil {
+	if err := sink.WriteEvent(data); err != nil {
 		return &Failure{Verdict: protocol.MayHaveRun, Reason: "caller-gone", Err: ErrCallerGone}
 	}
 	p.Offset = offset
