--- a/transport/bodies/bodies.go
+++ b/transport/bodies/bodies.go
@@ -1,4 +1,4 @@
-// Package bodies reads the bodies of callers' requests within bounds.
+// Package bodies reads the bodies of callers' requests up to a size limit.
 package bodies
 
 import (
@@ -8,21 +8,19 @@
 	"time"
 )
 
-// ErrTooLarge says that a body is larger than its limit.
+// ErrTooLarge reports that a body is larger than the limit.
 var ErrTooLarge = errors.New("the body is larger than the limit")
 
-// drainBytes and drainTime bound what is read and thrown away of a body that is
-// too large. A caller that sends its whole request before it reads could not
-// read the refusal otherwise: a connection that is closed with unread bytes is
-// reset.
+// drainBytes and drainTime bound how much of a body that is too large is read and discarded. Without
+// that, a caller that sends its whole request before it reads the answer could not read the
+// refusal: a connection that is closed with unread bytes is reset.
 const (
 	drainBytes = 64 << 20
 	drainTime  = 2 * time.Second
 )
 
-// Read reads a whole body of at most limit bytes. A declared length that is
-// too large is refused without reading. Its errors are ErrTooLarge and those of
-// the body's reader.
+// Read reads a whole body of at most limit bytes. If the declared length is larger, it returns
+// ErrTooLarge without reading. Its errors are ErrTooLarge and those of the body's reader.
 func Read(r *http.Request, limit int64) ([]byte, error) {
 	switch {
 	case r.ContentLength > limit:
@@ -41,10 +39,10 @@
 	return body, err
 }
 
-// Drain throws away the rest of a body that is too large, within bounds, and
-// has the connection closed after the answer.
+// Drain reads and discards the rest of a body that is too large, within bounds, and has the
+// connection closed after the answer.
 func Drain(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set("Connection", "close")
-	_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(drainTime)) // not all writers have deadlines
-	_, _ = io.CopyN(io.Discard, r.Body, drainBytes)                              // what it held does not matter
+	_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(drainTime)) // not all writers support deadlines
+	_, _ = io.CopyN(io.Discard, r.Body, drainBytes)                              // errors don't matter, as the body is discarded
 }
--- a/transport/callers/addresses.go
+++ b/transport/callers/addresses.go
@@ -13,24 +13,24 @@
 	"github.com/doorvalve/doorvalve/protocol"
 )
 
-// Address is one daemon that a caller may use.
+// Address is the address of a daemon that a caller may use.
 type Address struct {
 	Address       string `json:"address"`
 	FailureDomain string `json:"failure_domain"`
 }
 
-// Addresses is the answer to GET /v1/addresses, the best first.
+// Addresses is the answer to GET /v1/addresses, best address first.
 type Addresses struct {
 	Addresses []Address `json:"addresses"`
 	TTLMs     int64     `json:"ttl_ms"`
 }
 
-// MaxAddresses bounds the answer.
+// MaxAddresses bounds the addresses in an answer.
 const MaxAddresses = 8
 
-// addresses ranks the daemons: the caller's failure domain first (query
-// parameter "domain"), then the least loaded, then spread by the caller's
-// address so that callers do not all take the same one.
+// addresses serves the ranked daemons: those in the caller's failure domain (query parameter
+// "domain") first, then by load, then in an order that depends on the caller's address, so that
+// callers don't all use the same daemon.
 func (s *Server) addresses(c echo.Context) error {
 	conf := s.opt.Config()
 	if conf == nil {
@@ -41,7 +41,8 @@
 	return c.JSON(http.StatusOK, Addresses{Addresses: list, TTLMs: conf.Bundle.AddressTTL.D().Milliseconds()})
 }
 
-// Rank orders members for a caller. self is left out unless it is serving.
+// Rank returns the addresses of members in the order of preference for a caller, without those that
+// can't serve. self is left out unless serving is true.
 func Rank(members []membership.Member, domain, caller, self string, serving bool) []Address {
 	usable := slices.DeleteFunc(slices.Clone(members), func(m membership.Member) bool {
 		return m.Status != membership.Alive || m.Leaving || m.Generation == 0 || m.ID == self && !serving
@@ -68,7 +69,7 @@
 type model struct {
 	ID      string `json:"id"`
 	Object  string `json:"object"`
-	Root    string `json:"root,omitempty"` // an adapter's base
+	Root    string `json:"root,omitempty"` // the base model of an adapter
 	Version string `json:"version"`
 }
 
--- a/transport/callers/call.go
+++ b/transport/callers/call.go
@@ -30,11 +30,11 @@
 	"github.com/doorvalve/doorvalve/transport/proxy"
 )
 
-// call is one caller's request on its way.
+// call is the state of a caller's request.
 type call struct {
 	id       string
 	unit     string
-	uri      string // at the endpoint
+	uri      string // path and query at the endpoint
 	method   string
 	header   http.Header
 	body     []byte
@@ -43,25 +43,26 @@
 	affinity uint64
 	stream   bool
 	engine   bool // the endpoint echoes attempt ids
-	// key is set for a request that may run at most once.
+	// key is the idempotency key of a request that may run at most once; nil for other requests.
 	key     *claims.Key
 	gate    *gate.Gate
 	print   protocol.Fingerprint
-	trial   quarantiner.Probe // that this attempt is
-	ticket  quotas.Ticket     // that it was let through with
-	pass    quotas.Ticket     // for the endpoint of this attempt, if that names a limit
-	version string            // of the model; empty for services
-	// For the log: what became of the request.
+	trial   quarantiner.Probe // the probe that this attempt is; zero for none
+	ticket  quotas.Ticket     // what the request took of its workspace's quota
+	pass    quotas.Ticket     // what this attempt took of its endpoint's rate limit
+	version string            // version of the model; empty for plain services
+	// The following fields are for the log.
 	class      string
 	generation uint64
 	attempts   int
-	endpoint   string        // of the last attempt
-	queued     time.Duration // for slots, over all attempts
+	endpoint   string        // name of the endpoint of the last attempt
+	queued     time.Duration // time waited for slots, over all attempts
 }
 
-// prefixBytes is how much of a body counts as its prefix for affinity.
+// prefixBytes is the length of the prefix of a body that determines the affinity of a request.
 const prefixBytes = 1024
 
+// completion serves a call to a model.
 func (s *Server) completion(c echo.Context, conf *snapshot.Snapshot) *protocol.Refusal {
 	r := c.Request()
 	cl, ident, refusal := s.newCall(c, conf)
@@ -86,6 +87,7 @@
 	return s.run(c, cl)
 }
 
+// service serves a call to a plain service.
 func (s *Server) service(c echo.Context, conf *snapshot.Snapshot) *protocol.Refusal {
 	r := c.Request()
 	name := c.Param("service")
@@ -112,7 +114,8 @@
 	return s.run(c, cl)
 }
 
-// newCall reads what all calls have in common.
+// newCall identifies the caller, charges its workspace's quota and reads the body, as all calls
+// need.
 func (s *Server) newCall(c echo.Context, conf *snapshot.Snapshot) (*call, snapshot.Identity, *protocol.Refusal) {
 	r, now, id := c.Request(), time.Now(), s.requestID()
 	c.Response().Header().Set(protocol.HeaderRequestID, id)
@@ -152,10 +155,11 @@
 	return cl, ident, nil
 }
 
-// requestCost is what a request takes of a quota, which counts requests here.
+// requestCost is the cost of a request in its workspace's quota, which counts requests here.
 const requestCost = 1
 
-// identify finds out who sends a request: a caller of the bundle or a workspace.
+// identify finds the sender of a request by its Authorization headers: a caller of the bundle or a
+// workspace.
 func identify(authorization []string, conf *snapshot.Snapshot) (snapshot.Identity, *protocol.Refusal) {
 	first := ""
 	if len(authorization) > 0 {
@@ -177,7 +181,7 @@
 // maxKeyBytes bounds an idempotency key.
 const maxKeyBytes = 256
 
-// setKey reads the idempotency key; required calls are refused without one.
+// setKey reads the idempotency key. It refuses the call if required is true and there is no key.
 func (cl *call) setKey(r *http.Request, ident snapshot.Identity, service string, required bool) *protocol.Refusal {
 	text := r.Header.Get(protocol.HeaderIdempotencyKey)
 	switch {
@@ -192,7 +196,7 @@
 	return nil
 }
 
-// Bounds of the attempts of one request.
+// Limits of the attempts of one request.
 const (
 	maxAttempts     = 6
 	avoidAfterError = 500 * time.Millisecond
@@ -200,7 +204,7 @@
 	releaseTimeout  = 2 * time.Second
 )
 
-// run serves a call and gives its final answer, or returns the refusal.
+// run serves a call up to its final answer, or returns the refusal.
 func (s *Server) run(c echo.Context, cl *call) *protocol.Refusal {
 	s.budget.Earn()
 	cl.gate = s.opt.Gate(cl.unit)
@@ -209,7 +213,7 @@
 	}
 	ctx := c.Request().Context()
 	if cl.key != nil {
-		// The caller's leaving must not cut off a request that may not be repeated.
+		// A request that may not be repeated must run to its end even if its caller disconnects.
 		ctx = context.WithoutCancel(ctx)
 	}
 	ctx, cancel := context.WithDeadline(ctx, cl.deadline)
@@ -225,7 +229,7 @@
 // attempts tries endpoints until one has answered.
 func (s *Server) attempts(ctx context.Context, cl *call, out *answer) *protocol.Refusal {
 	claimed := false
-	verdict := protocol.NotRun // the worst of all attempts
+	verdict := protocol.NotRun // the worst verdict of all attempts
 	for n := 1; ; n++ {
 		asked := time.Now()
 		slot, refusal := s.acquire(ctx, cl)
@@ -259,8 +263,8 @@
 	}
 }
 
-// acquire takes a slot at an endpoint for a call that may be sent. One that is held back is
-// refused before it waits, and once more at the last moment.
+// acquire takes a slot at an endpoint for a call. A quarantined call is refused before it waits for
+// a slot, and checked again just before it is sent.
 func (s *Server) acquire(ctx context.Context, cl *call) (*gate.Slot, *protocol.Refusal) {
 	if refusal := s.opt.Quarantine.CheckHeld(cl.fingerprint, cl.software); refusal != nil {
 		return nil, refusal
@@ -279,10 +283,11 @@
 
 func (cl *call) fingerprint() protocol.Fingerprint { return cl.print }
 
-// software names what a call runs on, by the configuration that it is served by.
+// software identifies the software that the call runs on, by the configuration that serves it.
 func (cl *call) software() quarantine.Software { return quarantine.SoftwareOf(cl.unit, cl.version) }
 
-// tellQuarantine tells how an attempt ended that was sent at some time.
+// tellQuarantine reports the outcome of an attempt, sent at the given time, to the quarantine. began
+// reports whether events of the answer were forwarded.
 func (s *Server) tellQuarantine(ctx context.Context, cl *call, e bundle.Endpoint, sent time.Time, began bool, f *proxy.Failure) {
 	life := lifeOf(e)
 	if f != nil && f.Verdict == protocol.NotRun {
@@ -298,10 +303,11 @@
 	}
 }
 
-// lifeOf names an endpoint; lives of these endpoints are not told apart.
+// lifeOf returns the incarnation of an endpoint by its name only: bundles don't distinguish
+// incarnations.
 func lifeOf(e bundle.Endpoint) fleet.Incarnation { return fleet.Incarnation{ID: e.Name} }
 
-// attempt makes one attempt at one endpoint.
+// attempt makes attempt number n, at the endpoint of slot, and releases the slot.
 func (s *Server) attempt(ctx context.Context, cl *call, slot *gate.Slot, n int, out *answer) *proxy.Failure {
 	start, sent, heard := time.Now(), clock.Now(), out.progress.Offset
 	req := &proxy.Request{
@@ -327,17 +333,17 @@
 	}
 	cl.gate.Release(slot, took)
 	if whole != nil {
-		out.whole(whole) // a slow caller holds no slot
+		out.whole(whole) // after the release, so that a slow caller occupies no slot
 	}
 	return f
 }
 
-// avoid keeps new requests away from an endpoint that failed.
+// avoid keeps new requests away from an endpoint after a failure.
 func (s *Server) avoid(cl *call, slot *gate.Slot, f *proxy.Failure) {
 	avoid := avoidAfterError
 	switch {
 	case f.Leaving, f.Paused:
-		return // what it has said itself keeps requests away
+		return // the endpoint's own backpressure signal keeps requests away
 	case f.Full:
 		avoid = avoidAfterFull
 	case f.Err == nil || f.Reason == "caller-gone" || f.Reason == "deadline-passed":
@@ -347,8 +353,10 @@
 	s.opt.Log.Info(decisions.EventEndpointAvoided, "request", cl.id, "endpoint", slot.Endpoint.Name, "reason", f.Reason, "for_ms", avoid.Milliseconds())
 }
 
-// mayRetry allows a retry of what has not run, of a stream that can go on, and
-// of what may be repeated while the caller has seen nothing of it.
+// mayRetry reports whether the call may have a further attempt after failure f of attempt n: if it
+// has not run, or may be repeated. A stream then continues after its last event; of any other
+// answer, the caller has got nothing yet. The retry is taken out of the budget, except where the
+// endpoint only had no free slot.
 func (s *Server) mayRetry(ctx context.Context, cl *call, f *proxy.Failure, n int, out *answer) bool {
 	if ctx.Err() != nil || n >= maxAttempts || f.Err == proxy.ErrCallerGone {
 		return false
@@ -362,6 +370,7 @@
 	return s.budget.Spend()
 }
 
+// claim claims the idempotency key of a call, so that no other request with the key runs.
 func (s *Server) claim(ctx context.Context, cl *call) *protocol.Refusal {
 	switch s.opt.Claimer.Claim(ctx, *cl.key, cl.id) {
 	case claims.Granted:
@@ -373,15 +382,15 @@
 	case claims.Duplicate:
 		return protocol.RefuseMayHaveRun(http.StatusConflict, "duplicate-key", "a request with this key was accepted before")
 	default:
-		// Nothing is dispatched under this claim, so "not run" is true even
-		// if the claim was written; it is released in the background.
+		// The request is not sent under this claim, so the verdict "not run" is right even if the
+		// claim was written. The claim is released in the background.
 		go s.unclaim(cl, true)
 		return protocol.Refuse(http.StatusServiceUnavailable, "claims-unavailable", "the key cannot be recorded now", retryAfterStart)
 	}
 }
 
-// unclaim gives the key of a request back that has certainly not run, so that
-// the caller can send it again.
+// unclaim releases the key of a request that has certainly not run, so that the caller can send the
+// request again. It does nothing if claimed is false.
 func (s *Server) unclaim(cl *call, claimed bool) {
 	if !claimed {
 		return
@@ -391,8 +400,8 @@
 	s.opt.Claimer.Release(ctx, *cl.key, cl.id)
 }
 
-// finalRefusal turns the last attempt's failure into the answer. verdict is the
-// worst of all attempts.
+// finalRefusal turns the failure of the last attempt into the refusal for the caller. verdict is the
+// worst verdict of all attempts.
 func finalRefusal(f *proxy.Failure, verdict protocol.Verdict) *protocol.Refusal {
 	r := &protocol.Refusal{Status: http.StatusBadGateway, Reason: f.Reason, Detail: f.Error(), Verdict: verdict}
 	switch {
@@ -404,7 +413,7 @@
 	return r
 }
 
-// answer is the way to the caller.
+// answer writes an endpoint's answer to the caller.
 type answer struct {
 	w        http.ResponseWriter
 	progress proxy.Progress
@@ -413,10 +422,10 @@
 
 func newAnswer(w http.ResponseWriter) *answer { return &answer{w: w} }
 
-// started reports whether the caller has seen a part of the answer.
+// started reports whether a part of the answer was sent to the caller.
 func (a *answer) started() bool { return a.begun }
 
-// Event implements proxy.Sink.
+// WriteEvent implements proxy.Sink.
 func (a *answer) WriteEvent(data []byte) error {
 	if !a.begun {
 		a.begun = true
@@ -436,8 +445,7 @@
 	return nil
 }
 
-// fail ends a stream that cannot be finished with an error event in place of
-// the end mark.
+// fail ends a stream that can't be completed, with an error event in place of the end mark.
 func (a *answer) fail(r *protocol.Refusal) {
 	body, err := json.Marshal(r)
 	if err == nil {
@@ -448,6 +456,7 @@
 // answerHeaders are passed on to the caller.
 var answerHeaders = []string{"Content-Type", "Location", "ETag", "Cache-Control", "Last-Modified", "Content-Disposition"}
 
+// whole writes an answer that is not a stream.
 func (a *answer) whole(w *proxy.Answer) {
 	a.begun = true
 	h := a.w.Header()
--- a/transport/callers/head.go
+++ b/transport/callers/head.go
@@ -7,7 +7,7 @@
 	"fmt"
 )
 
-// completionHead is the part of a model call that routing needs.
+// completionHead holds the fields of a model call that routing needs.
 type completionHead struct {
 	Model  string
 	Stream bool
@@ -18,8 +18,8 @@
 	errNoModel  = errors.New(`"model" must name a model or an adapter`)
 )
 
-// parseHead reads the head of a model call. A field that is named twice is
-// refused: the engine may take the other one.
+// parseHead reads the head of a model call. It refuses duplicate fields, since an engine might use
+// the other value.
 func parseHead(body []byte) (completionHead, error) {
 	var h completionHead
 	d := json.NewDecoder(bytes.NewReader(body))
--- a/transport/callers/head_test.go
+++ b/transport/callers/head_test.go
@@ -18,18 +18,18 @@
 		`{"model":"m0"}{"model":"m1"}`, `{"model":"m0"} x`, `{"model":"m0","a":}`,
 	} {
 		if got, err := parseHead([]byte(body)); err == nil {
-			t.Errorf("%s was taken as %+v", body, got)
+			t.Errorf("%s was accepted as %+v", body, got)
 		}
 	}
 }
 
-// What a caller sends is refused or has one model, and breaks nothing.
+// Any body is either refused or parsed with a model name, without a panic.
 func FuzzParseHead(f *testing.F) {
 	f.Add([]byte(`{"model":"m0","stream":true,"messages":[{"role":"user"}]}`))
 	f.Add([]byte(`{"model":"m0","model":"m1"}`))
 	f.Fuzz(func(t *testing.T, body []byte) {
 		if h, err := parseHead(body); err == nil && h.Model == "" {
-			t.Fatalf("%q was taken without a model", body)
+			t.Fatalf("%q was accepted without a model", body)
 		}
 	})
 }
--- a/transport/callers/log.go
+++ b/transport/callers/log.go
@@ -10,11 +10,11 @@
 	"github.com/doorvalve/doorvalve/protocol"
 )
 
-// callKey is where a request's context holds its call.
+// callKey is the key of the call in a request's echo context.
 const callKey = "call"
 
-// logEnd writes the line about a request's final answer. Requests that were
-// refused before they were read have an id and no more.
+// logEnd logs the final answer to a request. For requests that were refused before they were read,
+// the line holds the id, but not the fields of the call.
 func (s *Server) logEnd(c echo.Context, start time.Time, refusal *protocol.Refusal) {
 	fields := []any{"request", c.Response().Header().Get(protocol.HeaderRequestID), "path", c.Path(), "ms", time.Since(start).Milliseconds()}
 	if cl, ok := c.Get(callKey).(*call); ok {
--- a/transport/callers/server.go
+++ b/transport/callers/server.go
@@ -1,5 +1,5 @@
-// Package callers serves the callers: model calls in the form they already
-// use, plain services under their prefix, and the addresses to call.
+// Package callers serves callers of doorvalve's own interface: model calls in the format of the
+// completions API, plain services under a path prefix, and the addresses of the daemons.
 package callers
 
 import (
@@ -27,36 +27,35 @@
 	"github.com/doorvalve/doorvalve/transport/proxy"
 )
 
-// Claimer claims keys of requests that may not be repeated.
+// Claimer claims and releases the idempotency keys of requests that may not be repeated.
 type Claimer interface {
 	Claim(ctx context.Context, key claims.Key, claimID string) claims.Outcome
 	Release(ctx context.Context, key claims.Key, claimID string) claims.Outcome
 }
 
-// Options are what the server needs of the rest of the daemon. All functions
-// must be safe for concurrent use and cheap.
+// Options configure a Server. All functions must be safe for concurrent use and cheap.
 type Options struct {
-	Self    string
+	Self    string // id of this daemon
 	Limits  settings.Limits
-	Config  func() *snapshot.Snapshot
-	Gate    func(unit string) *gate.Gate
+	Config  func() *snapshot.Snapshot    // nil if the daemon has no configuration yet
+	Gate    func(unit string) *gate.Gate // nil for an unknown unit
 	Members func() []membership.Member
 	Phase   func() drain.Phase
 	Claimer Claimer
 	Proxy   *proxy.Client
-	// Quarantine holds requests back under which endpoints end.
+	// Quarantine holds back requests under which endpoints crash.
 	Quarantine *quarantiner.Controller
-	// Quotas counts requests for their workspaces.
+	// Quotas enforces the quotas of workspaces.
 	Quotas *quotas.Controller
-	// Throttle keeps to what endpoints say of themselves.
+	// Throttle enforces the backpressure signals of endpoints.
 	Throttle *throttle.Controller
 	Log      *decisions.Log
 	Metrics  tally.Scope
-	// EndpointLeaving is told of an endpoint that says it takes no new work.
+	// OnEndpointLeaving is called with the name of an endpoint that reports that it is leaving.
 	OnEndpointLeaving func(endpoint string)
 }
 
-// Server is safe for concurrent use.
+// Server serves callers. It is safe for concurrent use.
 type Server struct {
 	opt      Options
 	budget   *retry.Budget
@@ -80,13 +79,13 @@
 	}}
 }
 
-// InProgress returns the number of requests that have no final answer yet.
+// InProgress returns the number of requests without a final answer.
 func (s *Server) InProgress() int { return int(s.active.Load()) }
 
-// servicesPrefix is the path under which plain services stand.
+// servicesPrefix is the path prefix of plain services.
 const servicesPrefix = "/services/"
 
-// Handler returns the routes.
+// Handler returns the handler of callers' requests.
 func (s *Server) Handler() http.Handler {
 	e := echo.New()
 	e.HTTPErrorHandler = func(err error, c echo.Context) {
@@ -103,12 +102,12 @@
 	return e
 }
 
-// retryAfterStart is when to come back to a daemon that has no configuration
-// yet or is about to stop.
+// retryAfterStart is the retry-after of refusals without an estimate, as by a daemon that has no
+// configuration yet or is about to stop.
 const retryAfterStart = time.Second
 
-// counted bounds the requests in progress and gives the final answer to those
-// that are refused.
+// counted wraps serve: it counts the requests in progress, records metrics and the log line, and
+// writes the refusal of a request that was refused.
 func (s *Server) counted(serve func(echo.Context, *snapshot.Snapshot) *protocol.Refusal) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		start := time.Now()
@@ -136,6 +135,8 @@
 	}
 }
 
+// admit serves a request unless the daemon can't take it; active is the number of requests in
+// progress, including this one.
 func (s *Server) admit(c echo.Context, active int64, serve func(echo.Context, *snapshot.Snapshot) *protocol.Refusal) *protocol.Refusal {
 	config := s.opt.Config()
 	switch {
@@ -149,7 +150,7 @@
 	return serve(c, config)
 }
 
-// requestID names a request. The daemon's id is unique to its process.
+// requestID returns a new request id. It is unique, as the daemon's id is unique to its process.
 func (s *Server) requestID() string {
 	return s.opt.Self + "-" + strconv.FormatUint(s.sequence.Add(1), 36)
 }
--- a/transport/callers/shut.go
+++ b/transport/callers/shut.go
@@ -14,11 +14,11 @@
 	"github.com/doorvalve/doorvalve/state/bundle"
 )
 
-// placesTried bounds the endpoints that are chosen for one attempt and turn out to take no requests.
+// placesTried bounds the endpoints chosen for one attempt that then turn out to take no requests.
 const placesTried = 8
 
-// acquireOpen takes a slot at an endpoint that takes requests, by its own word. What the call takes
-// of the endpoint's limit is in cl.pass.
+// acquireOpen takes a slot at an endpoint that takes requests, by its backpressure signals. It sets
+// cl.pass to what the call takes of the endpoint's rate limit.
 func (s *Server) acquireOpen(ctx context.Context, cl *call) (*gate.Slot, *protocol.Refusal) {
 	cl.pass = quotas.Ticket{}
 	s.opt.Throttle.WaitSynced(ctx)
@@ -40,11 +40,11 @@
 	return nil, protocol.Refuse(http.StatusServiceUnavailable, string(backpressure.Limited), cl.unit+": endpoints take no more requests now, by their own word", retryAfterStart)
 }
 
-// ask is the call's place among those that come back.
+// ask returns the call's position among the callers that are to retry at an endpoint.
 func (cl *call) ask() backpressure.Request { return backpressure.Request{Deadline: cl.deadline} }
 
-// refuseShut refuses a call whose endpoints take no requests now, and tells its caller when the
-// first of them takes it.
+// refuseShut refuses a call whose endpoints take no requests now. The refusal names the estimated
+// time until the first of them takes the call as the retry-after.
 func (s *Server) refuseShut(cl *call, shut []bundle.Endpoint) *protocol.Refusal {
 	var first bundle.Endpoint
 	turn := time.Duration(0)
@@ -60,9 +60,10 @@
 	return protocol.Refuse(http.StatusServiceUnavailable, string(reason), detail, max(turn, protocol.MinRetryAfter))
 }
 
-// heard takes what an endpoint says of itself in an answer to a call that was sent at some time.
-// Lives of these endpoints are not told apart: that one leaves holds until the coordinator, which
-// asks the endpoint itself, gives credit again.
+// heard passes the backpressure signals of an answer to the throttle; sent is when the call was
+// sent, and whole reports whether the absence of a signal counts, too. That an endpoint is leaving
+// goes to OnEndpointLeaving instead, since incarnations are not distinguished here: it holds until
+// the coordinator, which asks the endpoint itself, gives credit for it again.
 func (s *Server) heard(cl *call, e bundle.Endpoint, sent time.Time, says protocol.Backpressure, whole bool) {
 	if says.Leaving {
 		says.Leaving = false
--- a/transport/edge/answer.go
+++ b/transport/edge/answer.go
@@ -12,22 +12,24 @@
 	"github.com/doorvalve/doorvalve/state/fleet"
 )
 
-// answer is the way back to the caller.
+// answer writes an endpoint's answer to the caller and records its progress.
 type answer struct {
 	w        http.ResponseWriter
 	server   *Server
 	q        *request
-	begun    bool // the caller has seen the header
+	begun    bool // the header was sent to the caller
 	status   int
-	endpoint fleet.Incarnation // that answered last
-	sent     time.Time         // when the request was sent to it
-	viewAge  time.Duration     // of the view that it was chosen from
-	lastID   string            // of the last event handed on; empty before the first
-	first    time.Time         // when the first event was handed on
-	last     time.Time         // when the last ones were
-	gap      time.Duration     // the longest pause between two events
+	endpoint fleet.Incarnation // the last one that answered
+	sent     time.Time         // when the request was last sent to an endpoint
+	viewAge  time.Duration     // age of the view from which that endpoint was chosen
+	lastID   string            // id of the last forwarded event; empty before the first
+	first    time.Time         // when the first event was forwarded; zero before it
+	last     time.Time         // when events were last forwarded
+	gap      time.Duration     // the longest pause between two writes of events
 }
 
+// firstAfter returns the time from the request's arrival to the first event; zero if none was
+// forwarded.
 func (a *answer) firstAfter() time.Duration {
 	if a.first.IsZero() {
 		return 0
@@ -35,7 +37,9 @@
 	return a.first.Sub(a.q.arrived)
 }
 
-// whole hands an answer on once it is complete.
+// whole forwards an answer that is not a stream, once it has been read completely. again reports
+// whether the request may be retried at another endpoint: a server error is then a failure of the
+// attempt, and is not forwarded.
 func (a *answer) whole(resp *http.Response, w *silenceWatch, again bool) *failure {
 	content, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes+1))
 	if err != nil {
@@ -51,7 +55,7 @@
 		return &failure{verdict: protocol.MayHaveRun, reason: "endpoint-error"}
 	}
 	if a.begun {
-		// A stream that was to go on: this is no part of it.
+		// The caller has a part of a stream: a whole answer can't continue it.
 		return &failure{verdict: protocol.MayHaveRun, reason: "not-a-stream", err: errors.New(resp.Status)}
 	}
 	a.header(resp)
@@ -59,11 +63,11 @@
 		a.w.Header().Set("Content-Length", strconv.Itoa(len(content)))
 	}
 	a.w.WriteHeader(resp.StatusCode)
-	_, _ = a.w.Write(content) // a caller that has gone shows in its context
+	_, _ = a.w.Write(content) // a disconnected caller shows in the request's context
 	return nil
 }
 
-// header copies the endpoint's header for the caller.
+// header copies the header of the endpoint's answer to the caller's.
 func (a *answer) header(resp *http.Response) {
 	a.begun, a.status = true, resp.StatusCode
 	h := a.w.Header()
@@ -72,17 +76,17 @@
 	}
 }
 
-// eventEnd ends an event of a stream.
+// eventEnd separates the events of a stream.
 var eventEnd = []byte("\n\n")
 
-// maxEventBytes bounds an event that is not complete yet.
+// maxEventBytes bounds the buffered part of an incomplete event.
 const maxEventBytes = 1 << 20
 
-// stream hands whole events on as they arrive, unless the answer was given up
-// on before the first. A stream may go on at another endpoint after its last
-// whole event.
+// stream forwards complete events as they arrive, unless the watch has abandoned the attempt
+// before the first. An incomplete event is never forwarded, so that another endpoint can
+// continue the stream after the last complete event.
 func (a *answer) stream(resp *http.Response, w *silenceWatch) *failure {
-	var pending []byte // the part of an event that has arrived
+	var pending []byte // the received part of an incomplete event
 	buf := make([]byte, bufferBytes)
 	for {
 		n, err := resp.Body.Read(buf)
@@ -109,12 +113,13 @@
 			return &failure{verdict: protocol.MayHaveRun, reason: "event-too-large"}
 		}
 		if !a.first.IsZero() {
-			time.Sleep(a.server.opt.FlushEvery) // events gather in the connection meanwhile
+			time.Sleep(a.server.opt.FlushEvery) // further events collect in the connection's buffer
 		}
 	}
 }
 
-// finish ends a stream whose endpoint has ended it.
+// finish completes a stream that the endpoint has ended. It sends the header if there were no
+// events.
 func (a *answer) finish(resp *http.Response) *failure {
 	if !a.begun {
 		a.header(resp)
@@ -124,7 +129,7 @@
 	return nil
 }
 
-// events hands whole events on.
+// events forwards complete events.
 func (a *answer) events(resp *http.Response, content []byte) *failure {
 	if !a.begun {
 		a.header(resp)
@@ -144,7 +149,7 @@
 	return nil
 }
 
-// timeEvents notes when events were handed on.
+// timeEvents records that events were forwarded at the given time.
 func (a *answer) timeEvents(now time.Time) {
 	if a.first.IsZero() {
 		a.first = now
@@ -158,7 +163,7 @@
 
 var idField = []byte("id:")
 
-// lastEventID returns the id of the last event that has one.
+// lastEventID returns the id of the last event in content that has an id; empty if none has.
 func lastEventID(content []byte) string {
 	for len(content) > 0 {
 		start := bytes.LastIndexByte(content[:len(content)-1], '\n') + 1
--- a/transport/edge/arrive.go
+++ b/transport/edge/arrive.go
@@ -11,12 +11,12 @@
 	"github.com/doorvalve/doorvalve/state/routing"
 )
 
-// retryUnproven is when to come back to a daemon that cannot show whether a key is good: it
-// asks others for what the store says about as often.
+// retryUnproven is the retry-after of a refusal because the daemon can't verify a key with its
+// present view: it asks other daemons for the store's state about once a second.
 const retryUnproven = time.Second
 
-// A request goes through the steps of its arrival in order; each one may refuse it. The body
-// is read after them, so that a refusal costs no more than the header.
+// arrival lists the checks of a new request, in order; each one may refuse it. The body is read
+// after them, so that a refusal costs no more than reading the header.
 var arrival = []func(s *Server, ctx context.Context, q *request) *protocol.Refusal{
 	(*Server).checkTarget,
 	(*Server).match,
@@ -26,9 +26,10 @@
 	(*Server).allow,
 }
 
-// arrive reads a request and takes it through the steps of its arrival.
+// arrive reads a request and runs the checks of arrival on it. It returns the request also with a
+// refusal, except where the daemon has no desired state yet.
 func (s *Server) arrive(w http.ResponseWriter, r *http.Request, arrived time.Time, active int64) (*request, *protocol.Refusal) {
-	// The age goes first: what is read afterwards is as new or newer.
+	// The age is read before the table, so that the table is at most that old.
 	stateAge := s.opt.StateAge()
 	table := s.opt.Table()
 	if table == nil {
@@ -50,7 +51,7 @@
 	return q, s.readBody(w, r, q, table.Limits)
 }
 
-// checkTarget refuses what endpoints might read in another way.
+// checkTarget refuses request targets that endpoints might parse differently.
 func (s *Server) checkTarget(_ context.Context, q *request) *protocol.Refusal {
 	if q.path == "" || q.path[0] != '/' || len(q.uri) > 1 && q.uri[1] == '/' || q.uri[0] != '/' {
 		return protocol.Refuse(http.StatusBadRequest, "bad-request", "the path must begin with one slash", 0)
@@ -58,7 +59,7 @@
 	return nil
 }
 
-// match finds the request's route.
+// match finds the request's route and sets its deadline.
 func (s *Server) match(_ context.Context, q *request) *protocol.Refusal {
 	q.route = q.table.Match(q.host, q.path)
 	if q.route == nil {
@@ -68,7 +69,7 @@
 	return nil
 }
 
-// identify finds out whose request it is, and whether its key may be taken.
+// identify finds the workspace of the request, and decides whether its key is accepted.
 func (s *Server) identify(_ context.Context, q *request) *protocol.Refusal {
 	a := s.opt.Access.Decide(access.Request{Directory: q.table.Workspaces, Public: q.route.Public, Credential: q.call.Credential, Age: q.stateAge})
 	q.who = a.Workspace
@@ -82,7 +83,8 @@
 	return nil
 }
 
-// accept refuses what this daemon has no time or room for.
+// accept refuses streams that would outlast a draining daemon, and requests beyond the bound on
+// requests in progress.
 func (s *Server) accept(_ context.Context, q *request) *protocol.Refusal {
 	if s.opt.Draining() && q.route.Kind == routing.Streaming && time.Until(s.opt.DrainDeadline()) < lastStream {
 		return protocol.Refuse(http.StatusServiceUnavailable, "stopping", "this daemon stops before the stream would end", retryDraining)
@@ -93,7 +95,7 @@
 	return nil
 }
 
-// chooseService picks the service of the route that serves the request.
+// chooseService picks the request's service among those of its route.
 func (s *Server) chooseService(_ context.Context, q *request) *protocol.Refusal {
 	q.service = q.table.Services[q.route.Service(q.call.ID)]
 	if q.service == nil {
@@ -102,7 +104,7 @@
 	return nil
 }
 
-// allow counts the request for its workspace.
+// allow takes the request out of its workspace's quota.
 func (s *Server) allow(ctx context.Context, q *request) *protocol.Refusal {
 	if q.who == nil {
 		return nil
@@ -113,14 +115,15 @@
 	return refusal
 }
 
-// late reports whether the request has missed its latency objective before it came here: its
-// caller has less time left than the route gives, by more than that. Callers that were refused
-// come back so. One whose own time is shorter than the route's is not known to be late.
+// late reports whether the request missed its latency objective before it arrived: the time left
+// that its caller names is shorter than the route's timeout by more than the objective, as it is
+// when a caller retries after a refusal. It is false where the caller names no time or the route
+// has no timeout.
 func (q *request) late() bool {
 	return q.call.TimeLeft > 0 && q.route.Timeout > 0 && q.route.Timeout-q.call.TimeLeft > q.route.LatencyTarget
 }
 
-// stillGood refuses a request whose key was taken away while it waited.
+// stillGood refuses a request whose key was revoked while it waited.
 func (s *Server) stillGood(q *request) *protocol.Refusal {
 	newest := s.opt.Table()
 	if newest == q.table || access.StillValid(newest.Workspaces, q.call.Credential, q.route.Public, q.who) {
--- a/transport/edge/attempt.go
+++ b/transport/edge/attempt.go
@@ -21,23 +21,24 @@
 )
 
 const (
-	// dialTimeout bounds connecting to an endpoint: they are a millisecond or
-	// two away, and one that is dark never answers.
+	// dialTimeout bounds connecting to an endpoint. Round trips to endpoints take a millisecond
+	// or two; an unreachable endpoint never answers.
 	dialTimeout = 300 * time.Millisecond
-	// idleTimeout is how long a connection to an endpoint is kept unused.
+	// idleTimeout is how long an unused connection to an endpoint is kept.
 	idleTimeout = 4 * time.Second
-	// maxAnswerBytes bounds an answer that is not a stream.
+	// maxAnswerBytes bounds the body of an answer that is not a stream.
 	maxAnswerBytes = 16 << 20
-	// idlePerEndpoint bounds the unused connections kept to one endpoint.
+	// idlePerEndpoint bounds the unused connections that are kept to one endpoint.
 	idlePerEndpoint = 8
 )
 
-// client sends requests to endpoints.
+// client holds the transports for requests to endpoints.
 type client struct {
-	// kept reuses connections, for requests that may be repeated.
+	// kept reuses connections. It serves requests that may be repeated.
 	kept *http.Transport
-	// once opens a connection for each request, so that none that may run only
-	// once goes out on a connection that the endpoint has just closed.
+	// once opens a connection for each request. It serves requests that may run only once: on a
+	// reused connection that the endpoint has just closed, it would be unknown whether the
+	// request has run.
 	once *http.Transport
 }
 
@@ -49,32 +50,33 @@
 	}
 }
 
-// bufferBytes is the size of a connection's buffers: some events of a stream.
+// bufferBytes is the size of a connection's buffers, enough for some events of a stream.
 const bufferBytes = 4 << 10
 
-// failure is an attempt without an answer for the caller.
+// failure describes an attempt that brought no complete answer for the caller.
 type failure struct {
 	verdict protocol.Verdict
 	reason  string
 	err     error
-	absent  bool // the endpoint is another process, or does not hold the model
-	// unreachable says that no connection could be opened.
+	absent  bool // the address belongs to another process, or the endpoint does not hold the model
+	// unreachable: no connection could be opened.
 	unreachable bool
-	// refused says that nothing listens at the endpoint: the request has not reached it.
+	// refused: the connection was refused, so that the request has not reached the endpoint.
 	refused  bool
 	loading  bool              // the endpoint is still loading the model
-	paused   bool              // the endpoint wants a pause
-	began    bool              // events of the answer had come from the endpoint
+	paused   bool              // the endpoint asked for a pause
+	began    bool              // events of the answer had been forwarded
 	broken   bool              // the connection to the endpoint broke
-	endpoint fleet.Incarnation // that was asked
-	paid     bool              // the retry has been taken out of the budget
+	endpoint fleet.Incarnation // the endpoint of the attempt
+	paid     bool              // the retry was already taken out of the budget
 }
 
-// body hides the type of the content, so that the transport cannot send a
-// request a second time by itself.
+// body hides the type of the content, so that the transport can't rewind it and resend a request
+// by itself.
 type body struct{ io.Reader }
 
-// send sends a request to an endpoint and reads the answer's header.
+// send sends a request to an endpoint and reads the answer's header. The stream continues after
+// lastEventID, if that is not empty.
 func (s *Server) send(ctx context.Context, q *request, e *fleet.Endpoint, lastEventID string) (*http.Response, *failure) {
 	req := &http.Request{
 		Method: q.method, Host: q.host, ContentLength: int64(len(q.body)), Body: io.NopCloser(body{bytes.NewReader(q.body)}),
@@ -98,7 +100,7 @@
 	s.noteUnread(q, e, s.opt.Dialect.UnknownHeaders(resp.Header))
 	s.heard(q, e, sent, resp.StatusCode, mark)
 	if f := refusedByEndpoint(resp, mark, q); f != nil {
-		_, _ = io.CopyN(io.Discard, resp.Body, bufferBytes) // lets the connection be kept
+		_, _ = io.CopyN(io.Discard, resp.Body, bufferBytes) // so that the connection can be reused
 		_ = resp.Body.Close()
 		return nil, f
 	}
@@ -109,9 +111,9 @@
 	return resp, nil
 }
 
-// heard takes what an answer says of its endpoint. One that is to another request, or may come
-// from another process, says nothing; a refusal says what it names only, since it may come from
-// what stands before the endpoint.
+// heard passes the backpressure signals of an answer to the throttle. It ignores answers to other
+// requests and those that another process may have sent. A refusal may come from a proxy in front
+// of the endpoint: the signals that it carries count, but the absence of a signal does not.
 func (s *Server) heard(q *request, e *fleet.Endpoint, sent time.Time, status int, mark protocol.AnswerMetadata) {
 	ours := mark.RequestID == q.call.ID
 	own := mark.Sealed && (ours || mark.RequestID == "")
@@ -127,8 +129,8 @@
 	})
 }
 
-// classify says of an error before the answer whether the request may have
-// run.
+// classify turns an error before the answer's header into a failure, which says whether the
+// request may have run.
 func classify(ctx context.Context, err error) *failure {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
@@ -140,8 +142,8 @@
 	return &failure{verdict: protocol.MayHaveRun, reason: "endpoint-failed", err: err, broken: true}
 }
 
-// refusedByEndpoint recognises the endpoint's word that the request has not
-// run.
+// refusedByEndpoint returns the failure of an answer that reports that the request has not run;
+// nil for other answers.
 func refusedByEndpoint(resp *http.Response, mark protocol.AnswerMetadata, q *request) *failure {
 	if !mark.NotRun || mark.RequestID != "" && mark.RequestID != q.call.ID {
 		return nil
@@ -158,9 +160,9 @@
 	return f
 }
 
-// foreign recognises answers that are not to this request, and successes that
-// the endpoint did not make. They have been sent in place of its answer, so
-// the request may have run.
+// foreign returns the failure of an answer to another request, or of a success that the endpoint
+// did not mark as its own; nil for other answers. Such an answer came in place of the endpoint's,
+// so the request may have run.
 func foreign(resp *http.Response, mark protocol.AnswerMetadata, q *request) *failure {
 	switch {
 	case mark.RequestID != q.call.ID:
@@ -171,8 +173,8 @@
 	return nil
 }
 
-// attempt sends a request to one endpoint and brings the answer back. more
-// says that another endpoint may be tried afterwards.
+// attempt sends a request to one endpoint and forwards the answer. more reports whether another
+// endpoint may be tried afterwards.
 func (s *Server) attempt(ctx context.Context, q *request, e *fleet.Endpoint, a *answer, more bool) *failure {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -194,11 +196,11 @@
 	}
 	if f != nil {
 		f.began = a.last != heard
-		f.broken = f.broken && ctx.Err() == nil // else it was broken here
+		f.broken = f.broken && ctx.Err() == nil // otherwise this daemon closed the connection
 	}
 	if f != nil && w.gaveUp() {
 		f.paid = true
-		s.client.kept.CloseIdleConnections() // they may be as dead as the one that was waited on
+		s.client.kept.CloseIdleConnections() // they may be as unresponsive as the attempt's own
 	}
 	if f != nil && f.verdict != protocol.NotRun && a.first.IsZero() {
 		s.countFirst(q, e.Incarnation(), time.Since(a.sent))
@@ -207,7 +209,7 @@
 	return f
 }
 
-// deliver brings an answer back whose header has come.
+// deliver forwards an answer whose header has been received.
 func (s *Server) deliver(q *request, a *answer, resp *http.Response, w *silenceWatch, more bool) *failure {
 	if q.route.Kind == routing.Streaming && resp.StatusCode == http.StatusOK {
 		return a.stream(resp, w)
@@ -215,8 +217,9 @@
 	return a.whole(resp, w, more && q.route.Repeatable())
 }
 
-// hasOther reports whether another endpoint can serve a request now. One that has just
-// refused others cannot: a stream taken from an engine that is only slow would end.
+// hasOther reports whether an endpoint other than id can serve a request now. Endpoints that have
+// just failed don't count: they would refuse this request too, and a stream taken from an engine
+// that is merely slow would break off.
 func (s *Server) hasOther(q *request, id string) bool {
 	now := clock.Now()
 	return slices.ContainsFunc(s.candidates(q), func(e *fleet.Endpoint) bool {
@@ -224,7 +227,7 @@
 	})
 }
 
-// candidates returns the endpoints that can serve a request now, by the list.
+// candidates returns the endpoints that can serve a request now, according to the daemon's view.
 func (s *Server) candidates(q *request) []*fleet.Endpoint {
 	if q.service.Engine != nil && q.call.Model != "" {
 		return s.holders(q)
--- a/transport/edge/body.go
+++ b/transport/edge/body.go
@@ -10,10 +10,10 @@
 	"github.com/doorvalve/doorvalve/transport/bodies"
 )
 
-// readBody reads a request's whole body within its deadline.
+// readBody reads the whole body of a request before the request's deadline.
 func (s *Server) readBody(w http.ResponseWriter, r *http.Request, q *request, limits routing.Limits) *protocol.Refusal {
 	rc := http.NewResponseController(w)
-	_ = rc.SetReadDeadline(q.deadline) // not all writers have deadlines
+	_ = rc.SetReadDeadline(q.deadline) // not all writers support deadlines
 	body, err := bodies.Read(r, limits.BodyBytes)
 	_ = rc.SetReadDeadline(time.Time{})
 	switch {
--- a/transport/edge/demand.go
+++ b/transport/edge/demand.go
@@ -9,7 +9,8 @@
 	"github.com/doorvalve/doorvalve/state/fleet"
 )
 
-// Demand returns the requests running or waiting, by service.
+// Demand returns the demand by service: the requests that run or wait, and the first events counted
+// since the previous call.
 func (s *Server) Demand() map[string]residency.Demand {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -21,13 +22,12 @@
 	return out
 }
 
-// slowPart is the part of the latency objective after which a first event
-// counts as slow: a model's replicas are to be joined by another one before its
-// answers are late.
+// slowPart is the share of the latency objective after which a first event counts as slow. It is
+// below 1, so that another replica of the model is requested before its answers miss the objective.
 const slowPart = 0.8
 
-// countFirst notes how long an endpoint took to begin its answer, or to not
-// begin it.
+// countFirst counts the first event of a request at an endpoint, after the given time. A failed
+// attempt without an event counts, too, with the time until it failed.
 func (s *Server) countFirst(q *request, endpoint fleet.Incarnation, after time.Duration) {
 	slow := float64(after) > slowPart*float64(q.route.LatencyTarget)
 	s.countDemand(q, func(d residency.Demand) {
@@ -44,12 +44,12 @@
 	})
 }
 
-// countActive adds n to the requests of a model that run or wait.
+// countActive adds n to the number of requests of a model that run or wait.
 func (s *Server) countActive(q *request, n int) {
 	s.countDemand(q, func(d residency.Demand) { add(d.Active, q.call.Model, n) })
 }
 
-// countRunning adds n to the requests of a model at an endpoint.
+// countRunning adds n to the number of requests of a model that run at an endpoint.
 func (s *Server) countRunning(q *request, endpoint fleet.Incarnation, n int) {
 	s.countDemand(q, func(d residency.Demand) {
 		place := residency.Place{Endpoint: endpoint, Model: q.call.Model}
@@ -67,13 +67,16 @@
 	})
 }
 
-// DemandTurned receives when a model has begun or ceased to run at an endpoint.
+// DemandChanged returns a channel that receives when a model has got its first running request at
+// an endpoint, or has none left there.
 func (s *Server) DemandChanged() <-chan struct{} { return s.turned }
 
-// PlaceFreed receives when a model has ceased to run at an endpoint that the coordinator
-// had named for it: it may put another in its place at once.
+// PlaceFreed returns a channel that receives when a model has no running requests left at an
+// endpoint that the coordinator had assigned to a request: it may load another model there at once.
 func (s *Server) PlaceFreed() <-chan struct{} { return s.freed }
 
+// countDemand applies a change to the demand for the request's service. It ignores requests without
+// a model.
 func (s *Server) countDemand(q *request, change func(residency.Demand)) {
 	if q.call.Model == "" {
 		return
@@ -88,7 +91,7 @@
 	change(d)
 }
 
-// add changes a count and forgets it at zero.
+// add adds n to a count, and removes counts of zero.
 func add[K comparable](m map[K]int, k K, n int) {
 	m[k] += n
 	if m[k] == 0 {
--- a/transport/edge/demand_test.go
+++ b/transport/edge/demand_test.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// The coordinator is told at once when a model begins or ceases to run at an
-// endpoint, and not of each request of a busy one.
+// The coordinator is notified at once when a model gets its first running request at an endpoint or
+// has none left there, and not of each request of a busy model.
 func TestDemandTurns(t *testing.T) {
 	s, q := New(Options{Metrics: tally.NoopScope}), testRequest()
 	for i, step := range []struct {
@@ -38,11 +38,12 @@
 	}{{1, true}, {1, false}, {-1, false}, {-1, true}} {
 		s.countRunning(q, fleet.Incarnation{ID: "e"}, step.n)
 		if got := turned(s); got != step.want {
-			t.Errorf("step %d: turned %v", i, got)
+			t.Errorf("step %d: change signalled %v", i, got)
 		}
 	}
 }
 
+// First events are part of one report only, or the coordinator would count them twice.
 func TestFirstEventsAreToldOnce(t *testing.T) {
 	s, q := New(Options{Metrics: tally.NoopScope}), testRequest()
 	s.countFirst(q, fleet.Incarnation{ID: "e"}, 100*time.Millisecond)
@@ -52,6 +53,6 @@
 		t.Fatalf("got %+v, want %+v", got, want)
 	}
 	if got := s.Demand()["llm"].FirstEvents; len(got) != 0 {
-		t.Fatalf("told again: %+v", got)
+		t.Fatalf("first events reported twice: %+v", got)
 	}
 }
--- a/transport/edge/locate.go
+++ b/transport/edge/locate.go
@@ -18,15 +18,15 @@
 )
 
 const (
-	// lastWait is the time that a draining daemon must have left for the answer
-	// of a request that waits for its model.
+	// lastWait is the time that a draining daemon reserves after a wait, for the answer of the
+	// request that waited.
 	lastWait = 2500 * time.Millisecond
-	// askPause bounds the wait between two questions to the coordinator.
+	// askPause bounds the pause between two questions to the coordinator.
 	askPause = time.Second
 )
 
-// locate finds the endpoint for a request, waiting for its model if that is
-// worth it.
+// locate finds the endpoint for a request. It waits for the model if the request is likely to be
+// served after that.
 func (s *Server) locate(ctx context.Context, q *request, t *tries) (*fleet.Endpoint, *protocol.Refusal) {
 	exclude, absent, unreachable := t.exclude, t.absentAt(), t.last != nil && t.last.unreachable
 	if q.service.Engine == nil || q.call.Model == "" {
@@ -43,7 +43,7 @@
 		}
 		shut := s.shut(q, t, s.holders(q))
 		ans := s.opt.Locator.Want(ctx, q.service.Name, residency.Want{Model: q.call.Model, Adapter: q.call.Adapter, Rank: q.rank, Avoid: avoid, Unreachable: unreachable, MissingAt: absent, Full: shut.lives})
-		absent, unreachable = fleet.Incarnation{}, false // told once
+		absent, unreachable = fleet.Incarnation{}, false // reported to the coordinator only once
 		if ctx.Err() != nil {
 			return nil, s.outOfTime(protocol.NotRun)
 		}
@@ -61,7 +61,7 @@
 				q.named = true
 				return e, s.join(q, t, ans)
 			}
-			ans.ReadyIn = loadingPause // the list does not name it yet, or not any more; or it takes none
+			ans.ReadyIn = loadingPause // the endpoint is not in this daemon's view, or takes no requests now
 		}
 		if e := s.leavingThatServes(q, t); e != nil {
 			return e, nil
@@ -70,19 +70,20 @@
 		if refusal != nil {
 			return nil, refusal
 		}
-		if !avoid.IsZero() { // it has had its pause
+		if !avoid.IsZero() { // the endpoint that failed may be tried again after the wait
 			exclude, avoid = without(exclude, avoid), fleet.Incarnation{}
 		}
 	}
 }
 
-// takes reports whether an endpoint takes a request now.
+// takes reports whether an endpoint takes a request now: it is not leaving, not known to be
+// unreachable, and open by its backpressure signals.
 func (s *Server) takes(q *request, t *tries, e *fleet.Endpoint) bool {
 	return !e.Leaving && !s.opt.Balancer.Unreachable(clock.Now(), e.Incarnation()) && s.opt.Throttle.Peek(e.Incarnation(), t.ask(q)).Open
 }
 
-// waitSooner waits for an endpoint that holds the model and wants no requests now, or for the
-// model at another one, whichever is there sooner.
+// waitSooner waits for an unavailable endpoint that holds the model, or for the model to be loaded
+// at another endpoint, whichever is expected to be ready sooner.
 func (s *Server) waitSooner(ctx context.Context, q *request, t *tries, ans residency.Answer, shut shutEndpoints) *protocol.Refusal {
 	if len(shut.lives) > 0 && (ans.Refused != "" || shut.turn < ans.ReadyIn) {
 		return s.awaitTurn(ctx, q, t, shut)
@@ -90,9 +91,9 @@
 	return s.wait(ctx, q, t, ans)
 }
 
-// join refuses a request that would begin too late at the endpoint that the coordinator
-// has named, which is full. One that an endpoint has worked on goes on, and so does one
-// that is more urgent than others: endpoints admit it before them.
+// join refuses a request that would wait too long for a slot at the endpoint that the coordinator
+// has assigned. It lets requests pass that may have run at an endpoint already, and those more
+// urgent than the service's least urgent rank, as endpoints admit them first.
 func (s *Server) join(q *request, t *tries, ans residency.Answer) *protocol.Refusal {
 	if t.verdict != protocol.NotRun || q.rank < q.service.LeastUrgentRank {
 		return nil
@@ -105,7 +106,7 @@
 	return protocol.Refuse(http.StatusServiceUnavailable, "endpoints-full", detail, d.RetryAfter)
 }
 
-// wait waits for a model, or refuses the request.
+// wait waits for the request's model, or refuses the request if the wait is not worthwhile.
 func (s *Server) wait(ctx context.Context, q *request, t *tries, ans residency.Answer) *protocol.Refusal {
 	elapsed := time.Since(q.arrived)
 	if s.stopsBefore(ans.ReadyIn) {
@@ -138,14 +139,14 @@
 	return nil
 }
 
-// stopsBefore reports whether this daemon stops before a request that can begin after a wait would
-// be answered.
+// stopsBefore reports whether this daemon stops before it could answer a request that starts after
+// the given wait.
 func (s *Server) stopsBefore(wait time.Duration) bool {
 	ends := s.opt.DrainDeadline()
 	return !ends.IsZero() && time.Until(ends) < wait+lastWait
 }
 
-// sourceOf says what an answer's estimate rests on.
+// sourceOf returns the source of an answer's estimate: where the model's weights come from.
 func sourceOf(ans residency.Answer) waiting.Source {
 	switch {
 	case ans.Refused != "" || ans.Endpoint.IsZero():
@@ -158,8 +159,9 @@
 	return waiting.Nearby
 }
 
-// observeWait compares the end of a wait with what was said at its begin. A wait
-// that was given up tells something only where the model is overdue.
+// observeWait updates the margins with the error of the estimate made when the wait began. there
+// reports whether the model was found. A wait that ended without the model counts only if the model
+// is overdue by more than the present margin.
 func (s *Server) observeWait(t *tries, there bool) {
 	if t.estimated.IsZero() {
 		return
@@ -178,6 +180,7 @@
 	return slices.DeleteFunc(slices.Clone(list), func(e fleet.Incarnation) bool { return e == entry })
 }
 
+// locatePlain is locate for requests that need no model.
 func (s *Server) locatePlain(ctx context.Context, q *request, t *tries) (*fleet.Endpoint, *protocol.Refusal) {
 	for {
 		list := s.opt.View().ByService[q.service.Name]
@@ -197,20 +200,21 @@
 	}
 }
 
-// holders returns the endpoints that are listed with the request's model and
-// adapter, and stay.
+// holders returns the endpoints that hold the request's model and adapter, according to the
+// daemon's view, and are not leaving.
 func (s *Server) holders(q *request) []*fleet.Endpoint {
 	held := holding(s.opt.View().ByService[q.service.Name], q)
 	return slices.DeleteFunc(held, func(e *fleet.Endpoint) bool { return e.Leaving })
 }
 
-// holding returns those of a list that hold a request's model and adapter.
+// holding returns the endpoints of a list that hold the request's model and adapter.
 func holding(list []*fleet.Endpoint, q *request) []*fleet.Endpoint {
 	return slices.DeleteFunc(slices.Clone(list), func(e *fleet.Endpoint) bool { return !e.Has(q.call.Model, q.call.Adapter) })
 }
 
-// locateKnown picks an endpoint without a question to the coordinator, where
-// several hold the model or one has just served it here.
+// locateKnown picks an endpoint without asking the coordinator, where several endpoints hold the
+// model or the one picked has recently served it for this daemon. It returns nil if the coordinator
+// must be asked.
 func (s *Server) locateKnown(q *request, t *tries, exclude []fleet.Incarnation) *fleet.Endpoint {
 	if q.call.Adapter != "" {
 		return nil
@@ -221,7 +225,7 @@
 		return nil
 	}
 	if s.opt.Balancer.NearCapacity(clock.Now(), holders, balance.Query{Unit: q.unit(), Exclude: exclude, Request: t.ask(q)}) {
-		return nil // the coordinator knows of each request that it has named an endpoint for
+		return nil // the coordinator counts all requests that it has assigned, so it can tell who has room
 	}
 	if len(holders) >= severalHolders || s.opt.Balancer.RecentlyServed(clock.Now(), e.Incarnation(), q.unit()) {
 		return e
@@ -229,15 +233,18 @@
 	return nil
 }
 
-// severalHolders is the number of holders from which a model counts as in
-// steady use: one of them going costs a refusal, not a load.
+// severalHolders is the number of holders from which a model counts as in steady use: if one of
+// them evicts it, a request gets a refusal and goes to another holder, and needs no load.
 const severalHolders = 2
 
-// locateAny picks any listed holder, when the coordinator cannot be asked.
+// locateAny picks any endpoint that holds the model by this daemon's view, where the coordinator
+// has named none.
 func (s *Server) locateAny(q *request, t *tries, exclude []fleet.Incarnation) *fleet.Endpoint {
 	return s.opt.Balancer.Pick(clock.Now(), s.holders(q), balance.Query{Unit: q.unit(), Affinity: affinity(q), Exclude: exclude, Request: t.ask(q)})
 }
 
+// affinity returns the prefix by which requests of a sticky route share an endpoint; empty for other
+// routes.
 func affinity(q *request) string {
 	if !q.route.Sticky {
 		return ""
--- a/transport/edge/retry.go
+++ b/transport/edge/retry.go
@@ -12,24 +12,24 @@
 )
 
 const (
-	// maxSends bounds the times that a request is offered to endpoints before its
-	// answer begins; most of them are refusals that cost little. A begun answer is
-	// bounded by its caller's patience.
+	// maxSends bounds the attempts of a request before its answer begins; most of them end in
+	// refusals that cost little. Attempts to continue a begun answer are bounded by the route's
+	// MaxWait.
 	maxSends = 5
-	// refusedPause is the pause before the endpoints that have all refused to go on
-	// with a begun answer are asked again, some steps of an engine's batch; it
-	// doubles up to refusedMost, a fifth of the shortest patience of a caller.
+	// refusedPause is the pause before the endpoints are tried again that have all refused to
+	// continue a begun answer. It is some steps of an engine's batch, and doubles up to
+	// refusedMost, a fifth of the shortest time that callers wait.
 	refusedPause = 100 * time.Millisecond
 	refusedMost  = 400 * time.Millisecond
-	// budgetPause is the pause between two looks at an empty retry budget, which
-	// each request of this daemon fills by a part of a retry.
+	// budgetPause is the interval of checking an empty retry budget, to which each request of this
+	// daemon adds a fraction of a retry.
 	budgetPause = 100 * time.Millisecond
 )
 
-// payRetry takes a further attempt out of the budget, and reports whether there is
-// one. begun says that the caller has a part of the answer: then it waits, while its
-// caller does, for a place and for credit, since the answer can only break off. All
-// others are told at once, and can try again themselves.
+// payRetry reports whether the request may have a further attempt, and takes it out of the retry
+// budget. begun reports whether the caller has a part of the answer: then payRetry waits for an
+// endpoint and for the budget as long as the caller waits, because the answer would break off
+// otherwise. Other requests fail at once, and their callers can retry themselves.
 func (s *Server) payRetry(ctx context.Context, q *request, t *tries, begun bool) bool {
 	if !begun && t.sends >= maxSends {
 		return false
@@ -37,8 +37,7 @@
 	if begun && !s.awaitPlace(ctx, q, t) {
 		return false
 	}
-	// What was refused with the connection has reached nobody: another endpoint is its
-	// first, and no retry.
+	// A request whose connection was refused has reached no endpoint: its next attempt is no retry.
 	paid := t.last.paid || t.last.refused || s.opt.Budget.Spend()
 	if !paid && begun {
 		paid = s.awaitBudget(ctx, q, t)
@@ -49,8 +48,8 @@
 	return paid
 }
 
-// awaitPlace pauses where all endpoints that can go on with an answer have refused
-// it, and reports whether its caller is still there afterwards.
+// awaitPlace pauses if all endpoints that could continue an answer have refused it. It reports
+// whether the caller still waits after the pause.
 func (s *Server) awaitPlace(ctx context.Context, q *request, t *tries) bool {
 	if t.last.verdict != protocol.NotRun || s.hasUntried(q, t) {
 		return true
@@ -64,8 +63,8 @@
 	return ctx.Err() == nil
 }
 
-// awaitBudget takes a retry out of the budget as soon as other requests have earned
-// one, if the caller is still there then.
+// awaitBudget waits until other requests have earned a retry and takes it out of the budget. It
+// reports false if the caller does not wait that long.
 func (s *Server) awaitBudget(ctx context.Context, q *request, t *tries) bool {
 	for ctx.Err() == nil && t.outlasts(q, budgetPause) {
 		pause.For(ctx, budgetPause)
@@ -76,28 +75,27 @@
 	return false
 }
 
-// hasUntried reports whether an endpoint that can serve a request has not been asked
-// yet.
+// hasUntried reports whether an endpoint that can serve the request has not failed it yet.
 func (s *Server) hasUntried(q *request, t *tries) bool {
 	return s.untriedAmong(q, t, s.candidates(q))
 }
 
-// untriedAmong is hasUntried for some endpoints.
+// untriedAmong is hasUntried for the given candidates.
 func (s *Server) untriedAmong(q *request, t *tries, candidates []*fleet.Endpoint) bool {
 	return slices.ContainsFunc(candidates, func(e *fleet.Endpoint) bool {
 		return s.takes(q, t, e) && !slices.ContainsFunc(t.exclude, e.Incarnation().Matches)
 	})
 }
 
-// outlasts reports whether the caller is still there when an answer goes on after a
-// pause.
+// outlasts reports whether the caller is likely to wait for an answer that continues after d.
 func (t *tries) outlasts(q *request, d time.Duration) bool {
 	return waiting.Decide(waiting.Input{
 		ReadyIn: d, Elapsed: t.silentFor(q), TimeLeft: q.timeLeft(), MaxWait: q.route.MaxWait, Started: true,
 	}).Wait
 }
 
-// silentFor returns for how long the caller has heard nothing.
+// silentFor returns the time since the caller got an event, or since the request's arrival if it has
+// got none.
 func (t *tries) silentFor(q *request) time.Duration {
 	if t.heard.IsZero() {
 		return time.Since(q.arrived)
--- a/transport/edge/run.go
+++ b/transport/edge/run.go
@@ -17,25 +17,24 @@
 	"github.com/doorvalve/doorvalve/state/fleet"
 )
 
-// loadingPause is the wait before an endpoint that is still loading is tried
-// again.
+// loadingPause is the pause before a retry at an endpoint that is still loading the model.
 const loadingPause = 100 * time.Millisecond
 
-// tries is what has become of a request's attempts so far.
+// tries is the state of a request's attempts so far.
 type tries struct {
-	sends   int                 // attempts begun
-	ran     int                 // endpoints that the request may have run at
+	sends   int                 // attempts started
+	ran     int                 // endpoints at which the request may have run
 	verdict protocol.Verdict    // the worst of all attempts
-	exclude []fleet.Incarnation // endpoints that have failed it
-	pauses  int                 // made because all endpoints had refused it
+	exclude []fleet.Incarnation // endpoints that have failed the request
+	pauses  int                 // pauses made because all endpoints had refused the request
 	last    *failure
-	heard   time.Time // when the caller got the last event; zero before the first
-	// estimated is when the model was first said to be there, on what source;
-	// zero while nothing was said.
+	heard   time.Time // when the last event was forwarded; zero before the first
+	// estimated is when the model was to be ready, by the estimate made as the present wait began;
+	// source is the source of that estimate. estimated is zero outside a wait.
 	estimated time.Time
 	source    waiting.Source
-	// place is the request's in the line of an endpoint that it waits for, nil if it does not,
-	// and waitsUntil is until when the last such wait was to end at the latest.
+	// place is the request's entry in the queue of the endpoint that it waits for; nil if it waits
+	// for none. waitsUntil is the latest time at which the last such wait was to end.
 	place      *backpressure.Waiter
 	waitsUntil time.Time
 }
@@ -50,9 +49,8 @@
 	}
 }
 
-// again reports whether the request may go to another endpoint: it has not
-// run, or it may be repeated. A stream goes on only after an event whose id is
-// known.
+// again reports whether the request may go to another endpoint: it has not run, or it may be
+// repeated and has attempts left. A begun stream can continue only after an event with an id.
 func (t *tries) again(q *request, a *answer) bool {
 	if t.verdict == protocol.NotRun {
 		return true
@@ -61,8 +59,7 @@
 	return q.route.Repeatable() && t.ran < q.route.MaxAttempts && resumable
 }
 
-// run tries endpoints until one has answered. It returns nil when the caller
-// has its answer.
+// run tries endpoints until one has answered. It returns nil if the caller has got the answer.
 func (s *Server) run(ctx context.Context, q *request, a *answer) *protocol.Refusal {
 	s.opt.Budget.Earn()
 	t := &tries{}
@@ -108,13 +105,13 @@
 	}
 }
 
-// placesTried bounds the endpoints that are chosen for one attempt and turn out to take no
-// requests. They are passed over for a while by all requests, so that few have to choose again.
+// placesTried bounds the endpoints chosen for one attempt that then turn out to take no requests.
+// All requests skip such an endpoint for a while, so that few requests have to choose again.
 const placesTried = 8
 
-// place finds the endpoint for a request that may be sent. One that is held back is refused
-// before it waits for a model, and once more at the last moment: others may have found out
-// meanwhile.
+// place chooses the endpoint for the next attempt and admits the request there. A quarantined
+// request is refused before it waits for a model, and checked again just before it is sent: other
+// daemons may have quarantined it during the wait.
 func (s *Server) place(ctx context.Context, q *request, t *tries) (*fleet.Endpoint, *protocol.Refusal) {
 	on := func() quarantine.Software { return s.software(q) }
 	if refusal := s.opt.Quarantine.CheckHeld(q.fingerprint, on); refusal != nil {
@@ -137,11 +134,12 @@
 	return nil, s.refuseShut(q, t, s.shut(q, t, s.candidates(q)))
 }
 
-// admit is the last question before a request is sent to an endpoint, whatever way it was chosen.
-// What the request takes is in q.trial and q.pass.
+// admit is the last check before a request is sent to an endpoint, however the endpoint was chosen.
+// It sets q.trial and q.pass to what the request takes. It returns false without a refusal if the
+// endpoint takes no requests now.
 func (s *Server) admit(ctx context.Context, q *request, t *tries, e *fleet.Endpoint, on func() quarantine.Software) (admitted bool, refusal *protocol.Refusal) {
-	// One that has just started hears first what others know, but refuses what it cannot
-	// place without.
+	// A daemon that has just started waits here for the state of its peers. Requests without a
+	// suitable endpoint were refused before that.
 	s.opt.Quarantine.WaitSynced(ctx)
 	s.opt.Throttle.WaitSynced(ctx)
 	if q.trial, refusal = s.opt.Quarantine.Admit(ctx, q.fingerprint, on); refusal != nil {
@@ -152,7 +150,7 @@
 		s.opt.Quarantine.ReturnProbe(q.trial)
 		return false, nil
 	}
-	if refusal = s.stillGood(q); refusal == nil && q.timeLeft() <= 0 { // its host was suspended while it waited
+	if refusal = s.stillGood(q); refusal == nil && q.timeLeft() <= 0 { // as when the host was suspended during the wait
 		refusal = s.outOfTime(t.verdict)
 	}
 	if refusal != nil {
@@ -165,7 +163,9 @@
 	return true, nil
 }
 
-// tellQuarantine tells of a failure that may mean that the endpoint has ended.
+// tellQuarantine reports a failed attempt to the quarantine, which tracks failures that may be
+// crashes of the endpoint. It returns the probe and the endpoint's quota of a request that has not
+// reached the endpoint.
 func (s *Server) tellQuarantine(ctx context.Context, q *request, e *fleet.Endpoint, a *answer, f *failure) {
 	if f.verdict == protocol.NotRun {
 		s.opt.Quarantine.ReturnProbe(q.trial)
@@ -183,10 +183,10 @@
 	}
 }
 
-// software names what a request runs on: the service, the newest program of its endpoints,
-// the model and the newest version of it that one has loaded. A program's version is text:
-// the longer, then the later in the alphabet, counts as the newer, so that while versions
-// change all daemons name the same.
+// software identifies the software that the request runs on: the service, the newest program version
+// of its endpoints, the model, and the newest version of the model that an endpoint has loaded. The
+// versions of programs are texts: the longer one, then the one later in the alphabet, counts as
+// newer, so that all daemons name the same version during an upgrade.
 func (s *Server) software(q *request) quarantine.Software {
 	newest, program := 0, ""
 	for _, e := range s.opt.View().ByService[q.service.Name] {
@@ -202,6 +202,7 @@
 	return quarantine.SoftwareOf(q.service.Name, program, q.call.Model, strconv.Itoa(newest))
 }
 
+// outOfTime returns the refusal of a request whose time is over.
 func (s *Server) outOfTime(verdict protocol.Verdict) *protocol.Refusal {
 	if verdict == protocol.NotRun {
 		return protocol.Refuse(http.StatusServiceUnavailable, "out-of-time", "the request's time is over", retryBusy)
@@ -209,7 +210,7 @@
 	return protocol.RefuseMayHaveRun(http.StatusGatewayTimeout, "out-of-time", "the request's time is over")
 }
 
-// giveUp turns the last failure into the final answer.
+// giveUp turns the last failure into the final refusal.
 func (s *Server) giveUp(q *request, t *tries) *protocol.Refusal {
 	if t.verdict == protocol.NotRun {
 		if shut := s.shut(q, t, s.candidates(q)); t.last.paused && shut.all {
@@ -222,8 +223,8 @@
 	return r
 }
 
-// absentAt returns the endpoint that has just said that it does not hold the
-// model, none if none did.
+// absentAt returns the endpoint of the last attempt if it reported that it does not hold the model;
+// otherwise the zero value.
 func (t *tries) absentAt() fleet.Incarnation {
 	if t.last == nil || !t.last.absent {
 		return fleet.Incarnation{}
@@ -231,8 +232,8 @@
 	return t.last.endpoint
 }
 
-// learn takes what a failure tells of the endpoint, and reports whether this
-// request should keep away from it.
+// learn updates the balancer after a failure, and reports whether the request should exclude the
+// endpoint.
 func (s *Server) learn(ctx context.Context, q *request, e *fleet.Endpoint, f *failure) (exclude bool) {
 	now := clock.Now()
 	switch {
@@ -245,7 +246,7 @@
 		pause.For(ctx, loadingPause)
 		return false
 	case f.paused:
-		return false // what it has said itself keeps all requests away
+		return false // the endpoint's own backpressure signal keeps all requests away
 	}
 	if f.refused {
 		s.opt.Balancer.MarkUnreachable(now, e.Incarnation())
--- a/transport/edge/server.go
+++ b/transport/edge/server.go
@@ -1,7 +1,6 @@
-// Package edge serves callers by the routes of the desired state: it matches a
-// request to a route, finds an endpoint, forwards the request there and brings
-// the answer back, whole or as a stream that goes on at another endpoint when
-// the first one breaks off.
+// Package edge serves callers by the routes of the desired state: it matches a request to a route,
+// finds an endpoint, forwards the request to it and the answer to the caller. Answers are forwarded
+// whole or as streams; a stream that breaks off can continue at another endpoint.
 package edge
 
 import (
@@ -33,47 +32,49 @@
 	"github.com/doorvalve/doorvalve/transport/bodies"
 )
 
-// Locator finds the engine that holds or will hold a model.
+// Locator finds the engine that holds a model or will hold it.
 type Locator interface {
-	// Want asks the service's coordinator.
+	// Want asks the service's coordinator for an endpoint with the model.
 	Want(ctx context.Context, service string, w residency.Want) residency.Answer
 }
 
-// Options are what the server needs of the rest of the daemon. Functions must
-// be safe for concurrent use and cheap.
+// Options configure a Server. Functions must be safe for concurrent use and cheap.
 type Options struct {
+	// Table returns the routes of the desired state; nil if the daemon has none yet.
 	Table func() *routing.Table
-	View  func() *fleet.View
-	// ViewAge returns how old what the view says may be.
-	ViewAge  func() time.Duration
+	// View returns the daemon's view of the endpoints.
+	View func() *fleet.View
+	// ViewAge returns a bound on the age of the view.
+	ViewAge func() time.Duration
+	// Draining reports whether the daemon is stopping.
 	Draining func() bool
-	// Ends returns when a draining daemon ends what is in progress; zero while
-	// it serves.
+	// DrainDeadline returns when a draining daemon aborts the requests in progress; zero while the
+	// daemon is not draining.
 	DrainDeadline func() time.Time
 	Dialect       protocol.Dialect
 	Locator       Locator
 	Balancer      *balance.Balancer
 	Budget        *retry.Budget
-	// StateAge returns how old the desired state that Table returns afterwards may be.
+	// StateAge returns a bound on the age of the desired state that a later call of Table returns.
 	StateAge func() time.Duration
-	// Access bounds how long keys are taken on a view of some age.
+	// Access decides which keys are accepted, given the age of the desired state.
 	Access access.Bounds
-	// Quotas counts requests for their workspaces.
+	// Quotas enforces the quotas of workspaces.
 	Quotas *quotas.Controller
-	// Throttle keeps to what endpoints say of themselves.
+	// Throttle enforces the backpressure signals of endpoints.
 	Throttle *throttle.Controller
-	// Quarantine holds requests back under which endpoints end.
+	// Quarantine holds back requests under which endpoints crash.
 	Quarantine *quarantiner.Controller
 	Log        *decisions.Log
 	Metrics    tally.Scope
-	// FlushEvery is how long events of a stream may be gathered before they
-	// are written; the first event is written at once.
+	// FlushEvery is how long the events of a stream may be buffered before they are written. The
+	// first event is written at once.
 	FlushEvery time.Duration
 	// Connections bounds the requests in progress.
 	Connections int64
 }
 
-// Server is safe for concurrent use.
+// Server serves callers. It is safe for concurrent use.
 type Server struct {
 	opt     Options
 	client  *client
@@ -82,10 +83,10 @@
 
 	mu      sync.Mutex
 	demand  map[string]residency.Demand // by service
-	turned  chan struct{}
-	freed   chan struct{}
+	turned  chan struct{}               // see DemandChanged
+	freed   chan struct{}               // see PlaceFreed
 	margins *waiting.Margins
-	unread  decisions.Once // names of headers that nobody reads
+	unread  decisions.Once // names of unknown headers that have been logged
 }
 
 type metrics struct {
@@ -109,7 +110,7 @@
 // InProgress returns the number of requests without a final answer.
 func (s *Server) InProgress() int { return int(s.active.Load()) }
 
-// Handler returns the callers' handler.
+// Handler returns the handler of callers' requests.
 func (s *Server) Handler() http.Handler {
 	e := echo.New()
 	e.Pre(func(echo.HandlerFunc) echo.HandlerFunc {
@@ -121,40 +122,40 @@
 	return e
 }
 
-// request is one caller's request on its way.
+// request is the state of a caller's request.
 type request struct {
 	call     protocol.Call
 	route    *routing.Route
 	service  *routing.Service
 	method   string
 	uri      string // path and query as the caller sent them
-	path     string // as it was escaped
+	path     string // escaped
 	host     string
 	header   http.Header
 	body     []byte
-	print    *protocol.Fingerprint // nil until it is asked for
-	trial    quarantiner.Probe     // that this attempt is
-	table    *routing.Table        // that it came under
-	stateAge time.Duration         // how old that may have been
-	who      *workspace.Workspace  // that it is counted for; nil: nobody
-	ticket   quotas.Ticket         // that it was let through with
-	pass     quotas.Ticket         // for the endpoint of this attempt, if that names a limit
-	rank     int                   // 0 is served first
-	active   int64                 // requests in progress, this one among them
+	print    *protocol.Fingerprint // computed on first use; nil before
+	trial    quarantiner.Probe     // the probe that this attempt is; zero for none
+	table    *routing.Table        // the desired state in force on arrival
+	stateAge time.Duration         // bound on the age of table on arrival
+	who      *workspace.Workspace  // the workspace charged for the request; nil for none
+	ticket   quotas.Ticket         // what the request took of its workspace's quota
+	pass     quotas.Ticket         // what this attempt took of its endpoint's rate limit
+	rank     int                   // priority; 0 is served first
+	active   int64                 // requests in progress on arrival, including this one
 	arrived  time.Time
 	deadline time.Time
-	asleep   time.Duration // that the host had been suspended when it arrived
-	waited   time.Duration
-	named    bool // the coordinator named the endpoint
+	asleep   time.Duration // total time of the host's suspension on arrival
+	waited   time.Duration // since arrival, as of the end of the last wait for the model; zero if none
+	named    bool          // the coordinator assigned the endpoint
 }
 
-// timeLeft returns how long the caller waits yet. The deadline stands still while the host
-// is suspended, its caller does not.
+// timeLeft returns how much longer the caller waits. It subtracts the time for which the host was
+// suspended since arrival: Go's monotonic clock stands still meanwhile, but callers keep waiting.
 func (q *request) timeLeft() time.Duration {
 	return time.Until(q.deadline) - (clock.Suspended() - q.asleep)
 }
 
-// fingerprint identifies the request when its caller sends it again.
+// fingerprint returns the same value when the caller sends the request again.
 func (q *request) fingerprint() protocol.Fingerprint {
 	if q.print == nil {
 		path, query, _ := strings.Cut(q.uri, "?")
@@ -164,8 +165,7 @@
 	return *q.print
 }
 
-// workspace returns the name of the workspace that the request is counted for, empty if
-// that is none.
+// workspace returns the name of the workspace charged for the request; empty if there is none.
 func (q *request) workspace() string {
 	if q.who == nil {
 		return ""
@@ -173,7 +173,7 @@
 	return q.who.Name
 }
 
-// version returns the version of the desired state that the request came under.
+// version returns the version of the desired state in force when the request arrived; zero for none.
 func (q *request) version() uint64 {
 	if q.table == nil {
 		return 0
@@ -181,6 +181,8 @@
 	return q.table.Version
 }
 
+// unit returns MODEL/ADAPTER, or MODEL for a request without an adapter; empty for a request without a
+// model.
 func (q *request) unit() string {
 	if q.call.Adapter != "" {
 		return q.call.Model + "/" + q.call.Adapter
@@ -188,21 +190,21 @@
 	return q.call.Model
 }
 
-// Times to come back when nothing better is known.
+// Retry-after values of refusals without an estimate.
 const (
 	retryNoState  = 500 * time.Millisecond
 	retryBusy     = 300 * time.Millisecond
 	retryDraining = 100 * time.Millisecond
 )
 
-// lastStream is the time that a draining daemon must have left to begin a
-// stream: most end within it.
+// lastStream is the time that a draining daemon must have left to begin a stream. Most streams end
+// within it.
 const lastStream = 5 * time.Second
 
-// defaultTimeLeft is the time of a request whose caller and route name none.
+// defaultTimeLeft is the time limit of a request if neither the caller nor the route sets one.
 const defaultTimeLeft = 30 * time.Second
 
-// serve gives one request its final answer.
+// serve serves one request, up to its final answer.
 func (s *Server) serve(w http.ResponseWriter, r *http.Request) {
 	arrived := time.Now()
 	active := s.active.Add(1)
@@ -219,7 +221,7 @@
 	defer s.countActive(q, -1)
 	ctx, cancel := context.WithDeadline(r.Context(), q.deadline)
 	defer cancel()
-	_ = http.NewResponseController(w).SetWriteDeadline(q.deadline.Add(writeSlack)) // not all writers have deadlines
+	_ = http.NewResponseController(w).SetWriteDeadline(q.deadline.Add(writeSlack)) // not all writers support deadlines
 	a := &answer{w: w, server: s, q: q}
 	refusal = s.run(ctx, q, a)
 	s.metrics.duration.RecordDuration(time.Since(arrived))
@@ -233,7 +235,7 @@
 		s.opt.Log.Info(decisions.EventFailed, "request", q.call.ID, "route", q.route.Name, "model", q.unit(), "reason", "caller gone", "ms", time.Since(arrived).Milliseconds(), "endpoint", a.endpoint.ID)
 		panic(http.ErrAbortHandler)
 	case a.begun:
-		// A part has been sent; only a broken connection tells the caller.
+		// The caller has a part of the answer: only aborting the connection shows it the failure.
 		s.metrics.failed.Inc(1)
 		s.logEnd(decisions.EventFailed, q, refusal, a.endpoint.ID)
 		panic(http.ErrAbortHandler)
@@ -242,9 +244,11 @@
 	}
 }
 
-// writeSlack is how long after its deadline an answer may still be written.
+// writeSlack is how long after the request's deadline its answer may still be written.
 const writeSlack = 2 * time.Second
 
+// logEnd logs the refusal that ended a request. q is nil for a request refused before it was read;
+// endpoint is the last endpoint that answered, empty if none has.
 func (s *Server) logEnd(event string, q *request, refusal *protocol.Refusal, endpoint string) {
 	if q == nil {
 		s.opt.Log.Info(event, "reason", refusal.Reason, "detail", refusal.Detail, "status", refusal.Status)
@@ -264,7 +268,7 @@
 	s.opt.Log.Info(event, fields...)
 }
 
-// refuse writes a refusal as the final answer.
+// refuse writes a refusal as the final answer, counts it and logs it.
 func (s *Server) refuse(w http.ResponseWriter, r *http.Request, q *request, refusal *protocol.Refusal, endpoint string) {
 	event, count := decisions.EventRefused, s.metrics.refused
 	if refusal.Verdict != protocol.NotRun {
@@ -282,14 +286,14 @@
 		bodies.Drain(w, r)
 	}
 	wait := refusal.RetryAfter
-	refusal.RetryAfter = 0 // written here, with fractions
+	refusal.RetryAfter = 0 // set below with fractions of a second, not by WriteTo
 	if wait > 0 {
 		h.Set("Retry-After", strconv.FormatFloat(wait.Seconds(), 'f', 2, 64))
 	}
 	refusal.WriteTo(w)
 }
 
-// setDeadline takes the shorter of the caller's and the route's time.
+// setDeadline sets the deadline by the shorter of the time limits of the caller and the route.
 func (s *Server) setDeadline(q *request) {
 	left := q.call.TimeLeft
 	if left == 0 {
--- a/transport/edge/shut.go
+++ b/transport/edge/shut.go
@@ -17,29 +17,30 @@
 )
 
 const (
-	// turnRecheck bounds the pause between two looks whether a waiting request's turn has come.
+	// turnRecheck bounds the pause between two checks whether a waiting request has its turn.
 	turnRecheck = 100 * time.Millisecond
-	// turnMargin and turnMarginPart, of the time until a turn, are by how much the estimate of
-	// that time may err.
+	// An estimate of the time until a turn may err by turnMargin plus the share turnMarginPart of
+	// that time.
 	turnMargin     = 250 * time.Millisecond
 	turnMarginPart = 0.25
 )
 
-// marginOf returns by how much an estimate of the time until a turn may err.
+// marginOf returns the margin of error of an estimate of the time until a turn.
 func marginOf(turn time.Duration) time.Duration {
 	return turnMargin + time.Duration(turnMarginPart*float64(turn))
 }
 
-// shutEndpoints are endpoints that want no request like this one now, by their own word.
+// shutEndpoints are the endpoints that don't take a request now, by their backpressure signals.
 type shutEndpoints struct {
 	lives  []fleet.Incarnation
-	all    bool                // no other endpoint takes the request
-	first  fleet.Incarnation   // that takes the request first
-	turn   time.Duration       // until then
-	reason backpressure.Reason // of that one
+	all    bool                // no candidate takes the request now
+	first  fleet.Incarnation   // the endpoint expected to take the request first
+	turn   time.Duration       // estimated time until first takes the request
+	reason backpressure.Reason // why first does not take it now
 }
 
-// ask is the request's place among those that wait. An answer that has begun goes on before others.
+// ask returns the request's position in the queues of endpoints. Requests that may have run already
+// go before all others.
 func (t *tries) ask(q *request) backpressure.Request {
 	a := backpressure.Request{Rank: q.rank, Deadline: q.deadline, Waiter: t.place}
 	if t.verdict != protocol.NotRun {
@@ -48,7 +49,7 @@
 	return a
 }
 
-// shut returns the endpoints among some that want no request like this one now.
+// shut returns the candidates that don't take the request now.
 func (s *Server) shut(q *request, t *tries, candidates []*fleet.Endpoint) shutEndpoints {
 	shut := shutEndpoints{all: !s.untriedAmong(q, t, candidates)}
 	for _, e := range s.opt.Balancer.Unavailable(clock.Now(), candidates, t.ask(q)) {
@@ -62,8 +63,8 @@
 	return shut
 }
 
-// awaitTurn waits until an endpoint takes the request, in the line of the one that will first, or
-// refuses it at once if that is too late for its caller.
+// awaitTurn waits until an endpoint takes the request, in the queue of the endpoint that is expected
+// to take it first. It refuses the request at once if that is too late for its caller.
 func (s *Server) awaitTurn(ctx context.Context, q *request, t *tries, shut shutEndpoints) *protocol.Refusal {
 	if t.place != nil && !slices.Contains(shut.lives, t.place.Incarnation()) {
 		s.quitLine(t, false)
@@ -79,7 +80,7 @@
 		now := s.shut(q, t, s.candidates(q))
 		switch {
 		case !slices.Contains(now.lives, t.place.Incarnation()) || now.turn <= 0 || !now.all:
-			return nil // a look at all endpoints shows which takes it
+			return nil // the caller of awaitTurn chooses among all endpoints again
 		case t.verdict == protocol.NotRun && clock.Now().Add(now.turn).After(t.waitsUntil):
 			return s.refuseShut(q, t, now)
 		case t.verdict == protocol.NotRun && s.stopsBefore(now.turn):
@@ -92,8 +93,8 @@
 	}
 }
 
-// worthWaiting reports whether a request should wait for its turn. One that has waited before, in
-// vain, waits again only while it can be in time.
+// worthWaiting reports whether the request should wait for its turn. After a wait in vain, it waits
+// again only while it can still meet its latency objective.
 func (t *tries) worthWaiting(q *request, turn time.Duration) bool {
 	return waiting.Decide(waiting.Input{
 		ReadyIn: turn, Margin: marginOf(turn), Elapsed: t.silentFor(q), TimeLeft: q.timeLeft(), Target: q.route.LatencyTarget, MaxWait: q.route.MaxWait,
@@ -101,8 +102,8 @@
 	}).Wait
 }
 
-// quitLine ends the request's wait in a line, if it is in one; admitted says that it has come to its
-// turn.
+// quitLine removes the request from the queue in which it waits, if any. admitted reports whether
+// the request was admitted.
 func (s *Server) quitLine(t *tries, admitted bool) {
 	if t.place != nil {
 		s.opt.Throttle.Dequeue(t.place, admitted)
@@ -110,7 +111,8 @@
 	}
 }
 
-// refuseShut refuses a request whose endpoints want none now, and tells its caller when its turn is.
+// refuseShut refuses a request that no endpoint takes now. The refusal names the time until its turn
+// as the retry-after.
 func (s *Server) refuseShut(q *request, t *tries, shut shutEndpoints) *protocol.Refusal {
 	if len(shut.lives) == 0 {
 		return protocol.Refuse(http.StatusServiceUnavailable, string(backpressure.Limited), "endpoints take no more requests now, by their own word", retryBusy)
@@ -121,8 +123,8 @@
 	return protocol.Refuse(http.StatusServiceUnavailable, string(shut.reason), detail, max(shut.turn, protocol.MinRetryAfter))
 }
 
-// leavingThatServes returns an endpoint that leaves and may still serve a request that no other
-// can, or nil.
+// leavingThatServes returns a leaving endpoint that may still serve the request where no other
+// endpoint can; nil if there is none.
 func (s *Server) leavingThatServes(q *request, t *tries) *fleet.Endpoint {
 	list := s.opt.View().ByService[q.service.Name]
 	if q.call.Model != "" && q.service.Engine != nil {
--- a/transport/edge/unread.go
+++ b/transport/edge/unread.go
@@ -5,9 +5,9 @@
 	"github.com/doorvalve/doorvalve/state/fleet"
 )
 
-// noteUnread counts and logs the headers of an answer that nobody reads: a word that endpoints have
-// begun to use shows in the log, once for each name, before anybody understands it. Values are not
-// logged: what they hold is not known.
+// noteUnread counts the headers of an answer that are unknown to this daemon, and logs each name
+// once, so that operators see when endpoints begin to send a new header. Values are not logged,
+// since it is unknown what they hold.
 func (s *Server) noteUnread(q *request, e *fleet.Endpoint, names []string) {
 	for _, name := range names {
 		s.metrics.unread.Inc(1)
--- a/transport/edge/watch.go
+++ b/transport/edge/watch.go
@@ -11,18 +11,17 @@
 )
 
 const (
-	// silencePart is the part of a caller's patience after which a request that
-	// may be repeated is taken from an endpoint that is silent: before the
-	// first event of a stream, or between two.
+	// A streaming request that may be repeated is taken from a silent endpoint after the route's
+	// MaxWait divided by silencePart, both before the first event and between two events.
 	silencePart = 2
-	// minSilence keeps ordinary pauses from looking like silence.
+	// minSilence is the minimum timeout, so that ordinary pauses don't count as silence.
 	minSilence = 250 * time.Millisecond
-	// silenceRecheck is the pause before it is looked again whether another
-	// endpoint can take a request from one that is silent.
+	// silenceRecheck is the interval of checking whether another endpoint can take a request from
+	// a silent endpoint.
 	silenceRecheck = 100 * time.Millisecond
 )
 
-// silenceTime is how long an endpoint may be silent before another is tried.
+// silenceTime returns how long an endpoint may be silent before another one is tried.
 func silenceTime(q *request) time.Duration {
 	t := q.route.MaxWait / silencePart
 	if q.route.Kind != routing.Streaming {
@@ -33,24 +32,26 @@
 
 var errSilent = errors.New("the endpoint was silent for too long")
 
-// silenceWatch gives an attempt up when its endpoint is silent for too long and
-// another one can take the request. A part of the answer that comes just after
-// goes to nobody.
+// silenceWatch abandons an attempt when its endpoint is silent for too long and another endpoint can
+// take the request. Parts of the answer that arrive after that are dropped.
 type silenceWatch struct {
 	state  atomic.Int32
-	within bool          // also between two events of a stream
-	after  time.Duration // of silence
-	timer  *time.Timer   // nil where nothing is given up on
-	ended  atomic.Bool   // there is nothing to give up any more
+	within bool          // the answer is a stream: watch it between events, too
+	after  time.Duration // the time of silence after which the attempt is abandoned
+	timer  *time.Timer   // nil if the attempt is never abandoned
+	ended  atomic.Bool   // the watch was stopped
 }
 
+// States of the answer in a silenceWatch.
 const (
 	answerWaiting = iota
 	answerBegun
 	answerGivenUp
 )
 
-// watch begins to watch an attempt, if another one may follow.
+// watch starts a watch of an attempt at an endpoint; cancel ends the attempt. more reports whether
+// another attempt may follow; without one, or if the request may not be repeated, the watch never
+// abandons the attempt.
 func (s *Server) watch(q *request, e *fleet.Endpoint, more bool, cancel context.CancelCauseFunc) *silenceWatch {
 	w := &silenceWatch{after: silenceTime(q), within: q.route.Kind == routing.Streaming}
 	if !more || !q.route.Repeatable() {
@@ -69,7 +70,7 @@
 	return w
 }
 
-// stop ends the watch: nothing is given up any more.
+// stop ends the watch, so that it does not abandon the attempt any more.
 func (w *silenceWatch) stop() {
 	w.ended.Store(true)
 	if w.timer != nil {
@@ -77,13 +78,14 @@
 	}
 }
 
-// begin reports whether a part of the answer may go to the caller.
+// begin marks the answer as begun, and reports whether its parts may be forwarded: not after the
+// attempt was abandoned.
 func (w *silenceWatch) begin() bool {
 	return w.state.CompareAndSwap(answerWaiting, answerBegun) || w.state.Load() == answerBegun
 }
 
-// heard notes that events have been handed on. resumable says that the stream
-// can go on elsewhere after them.
+// heard restarts the time of silence after events were forwarded. resumable reports whether the
+// stream can continue at another endpoint after them; if not, the watch ends.
 func (w *silenceWatch) heard(resumable bool) {
 	if w.timer == nil {
 		return
@@ -95,8 +97,8 @@
 	w.timer.Reset(w.after)
 }
 
-// giveUp gives the answer up, if spend allows the retry. One that is not a
-// stream is whole when it begins.
+// giveUp abandons the attempt if spend allows the retry, and reports whether it did. An answer that
+// is not a stream is complete when it begins, so it is not abandoned after that.
 func (w *silenceWatch) giveUp(spend func() bool) bool {
 	state := w.state.Load()
 	if state == answerGivenUp || state == answerBegun && !w.within || !spend() {
@@ -105,6 +107,5 @@
 	return w.state.CompareAndSwap(state, answerGivenUp)
 }
 
-// gaveUp reports whether the answer was given up on, so that its retry is paid
-// for.
+// gaveUp reports whether the attempt was abandoned. Its retry was then taken out of the budget.
 func (w *silenceWatch) gaveUp() bool { return w.state.Load() == answerGivenUp }
--- a/transport/edge/watch_test.go
+++ b/transport/edge/watch_test.go
@@ -20,9 +20,9 @@
 	"github.com/doorvalve/doorvalve/state/storeversion"
 )
 
-// A request at an engine that is silent goes to another holder of its model only while
-// that one takes requests, and as soon as it does: an engine that has just refused
-// others would refuse this one too, and its answer would end.
+// A request at a silent engine moves to another engine with its model only while that engine takes
+// requests, and as soon as it does. An engine that has just failed other requests would refuse this
+// one too, and the answer would break off.
 func TestSilentEngineIsLeftForOneThatTakesRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := decisions.New(io.Discard, "test", hclog.Off)
@@ -40,21 +40,21 @@
 		for range 4 {
 			s.opt.Balancer.Failed(time.Now(), fleet.Incarnation{ID: "full"})
 		}
-		free := time.Now().Add(2400 * time.Millisecond) // the fourth time in a row
+		free := time.Now().Add(2400 * time.Millisecond) // an endpoint is avoided that long after four failures in a row
 		w := s.watch(q, view.ByID["slow"], true, cancel)
 		defer w.stop()
 		time.Sleep(silenceTime(q) + 10*time.Millisecond)
 		if ctx.Err() != nil {
-			t.Fatal("the request is taken from its engine for one that refuses")
+			t.Fatal("the attempt was abandoned though the other engine takes no requests")
 		}
 		time.Sleep(time.Until(free) + 2*silenceRecheck)
 		if ctx.Err() == nil {
-			t.Fatal("the request stays at a silent engine though another takes it")
+			t.Fatal("the attempt at a silent engine was not abandoned though the other engine takes requests")
 		}
 	})
 }
 
-// A watch that has ended gives nothing up and takes nothing out of the budget.
+// A stopped watch does not abandon the attempt and takes nothing out of the retry budget.
 func TestEndedWatchSpendsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := decisions.New(io.Discard, "test", hclog.Off)
@@ -66,18 +66,17 @@
 		q := testRequest()
 		q.service.Engine = &routing.Engine{}
 		q.route.Kind, q.route.Resumable, q.route.MaxAttempts, q.route.MaxWait = routing.Streaming, true, 2, 2*time.Second
-		w := s.watch(q, view.ByID["a"], true, func(error) { t.Error("given up after its end") })
+		w := s.watch(q, view.ByID["a"], true, func(error) { t.Error("the attempt was abandoned after the watch was stopped") })
 		w.stop()
 		time.Sleep(time.Minute)
 		if !budget.Spend() {
-			t.Error("the budget was spent")
+			t.Error("the stopped watch spent the retry budget")
 		}
 	})
 }
 
-// Where the retry budget is empty, a begun answer waits for credit as long as its
-// caller does; a caller without a part of its answer is told at once, whatever has
-// become of its request, and can try again itself.
+// While the retry budget is empty, a begun answer waits for credit as long as its caller waits. A
+// request without a part of its answer fails at once, even if it may have run: its caller can retry.
 func TestOnlyBegunAnswersWaitForTheBudget(t *testing.T) {
 	const patience = 2 * time.Second
 	for _, begun := range []bool{false, true} {
@@ -88,7 +87,7 @@
 			q.arrived, q.deadline, q.route.MaxWait = time.Now(), time.Now().Add(time.Minute), patience
 			tr := &tries{sends: 1, ran: 1, verdict: protocol.MayHaveRun, last: &failure{verdict: protocol.MayHaveRun}}
 			if s.payRetry(t.Context(), q, tr, begun) {
-				t.Fatal("a retry out of an empty budget")
+				t.Fatal("got a retry out of an empty budget")
 			}
 			if waited := time.Since(q.arrived); !begun && waited > 0 || begun && (waited == 0 || waited >= patience) {
 				t.Errorf("begun %v: waited %v", begun, waited)
@@ -97,5 +96,5 @@
 	}
 }
 
-// said returns a book in which no endpoint has said anything.
+// said returns a tracker without any reports of endpoints.
 func said() *backpressure.Tracker { return backpressure.New(backpressure.Options{}) }
--- a/transport/engine/client.go
+++ b/transport/engine/client.go
@@ -1,5 +1,5 @@
-// Package engine is the client of model engines and plain services for what
-// is not a caller's request: their state and orders to them.
+// Package engine is the client for the control of model engines and plain services: it reads their
+// state and sends orders. Callers' requests go through package proxy.
 package engine
 
 import (
@@ -22,24 +22,25 @@
 // Error is the class of every error that this package creates.
 var Error = errs.Class("engine")
 
-// MaxIdlePerEndpoint bounds idle connections to one endpoint.
+// MaxIdlePerEndpoint bounds the idle connections to one endpoint.
 const MaxIdlePerEndpoint = 4
 
-// Client is safe for concurrent use.
+// Client calls endpoints. It is safe for concurrent use.
 type Client struct {
 	http  *http.Client
 	meter meter.Meter
 
 	mu   sync.Mutex
-	last map[string]cached // by address
+	last map[string]cached // last state received, by address
 }
 
+// cached is an engine's state with its entity tag.
 type cached struct {
 	etag  string
 	state protocol.EngineState
 }
 
-// New returns a client whose calls take at most timeout.
+// New returns a client whose calls time out after timeout.
 func New(timeout time.Duration) *Client {
 	c := &Client{last: map[string]cached{}}
 	t := &http.Transport{DialContext: c.meter.Dial(timeout), MaxIdleConnsPerHost: MaxIdlePerEndpoint, IdleConnTimeout: 30 * time.Second}
@@ -47,10 +48,11 @@
 	return c
 }
 
-// Bytes returns the bytes exchanged.
+// Bytes returns the number of bytes exchanged with endpoints.
 func (c *Client) Bytes() meter.Counts { return c.meter.Counts() }
 
-// State returns an engine's state. An unchanged one costs a short answer.
+// State returns an engine's state. If the state has not changed since the previous call, the engine
+// answers without a body.
 func (c *Client) State(ctx context.Context, e bundle.Endpoint) (protocol.EngineState, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+e.Address+"/state", nil)
 	if err != nil {
@@ -84,8 +86,8 @@
 	return s, nil
 }
 
-// Health returns a plain service's state in the same form: the service itself
-// is its only unit.
+// Health returns the state of a plain service's endpoint in the form of an engine's state, with the
+// service as the only unit. An endpoint that is not healthy is an error.
 func (c *Client) Health(ctx context.Context, e bundle.Endpoint, service string) (protocol.EngineState, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+e.Address+"/healthz", nil)
 	if err != nil {
@@ -105,7 +107,7 @@
 	}, nil
 }
 
-// Order sends an order. sent is false when it certainly never left.
+// Order sends an order. sent is false if the order has certainly not reached the engine.
 func (c *Client) Order(ctx context.Context, address string, o protocol.Order) (sent bool, err error) {
 	body, err := json.Marshal(o)
 	if err != nil {
@@ -115,7 +117,7 @@
 	if err != nil {
 		return false, Error.Wrap(err)
 	}
-	req.GetBody = nil // never sent twice by the transport
+	req.GetBody = nil // so that the transport never resends the order
 	resp, err := c.http.Do(req)
 	if err != nil {
 		return !IsDialError(err), Error.Wrap(err)
@@ -127,8 +129,7 @@
 	return true, nil
 }
 
-// IsDialError reports whether err is a failure to connect, so that nothing of
-// the request was sent.
+// IsDialError reports whether err is a failure to connect, so that no part of the request was sent.
 func IsDialError(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
--- a/transport/meter/meter.go
+++ b/transport/meter/meter.go
@@ -1,5 +1,5 @@
-// Package meter counts the bytes that a daemon spends on control: calls to the
-// platform, to peers and to endpoints other than callers' requests.
+// Package meter counts the bytes of a daemon's control traffic: calls to the platform, to peers and
+// to endpoints, without callers' requests.
 package meter
 
 import (
@@ -9,10 +9,11 @@
 	"time"
 )
 
-// Meter counts bytes in both directions. It is safe for concurrent use.
+// Meter counts the bytes of connections in both directions. The zero value is ready to use. It is
+// safe for concurrent use.
 type Meter struct{ in, out atomic.Int64 }
 
-// Counts are a meter's totals.
+// Counts holds a meter's totals.
 type Counts struct {
 	In  int64 `json:"in_bytes"`
 	Out int64 `json:"out_bytes"`
@@ -21,7 +22,7 @@
 // Counts returns the totals.
 func (m *Meter) Counts() Counts { return Counts{In: m.in.Load(), Out: m.out.Load()} }
 
-// Dial returns a dial function whose connections are counted.
+// Dial returns a dial function whose connections are counted; timeout bounds each dial.
 func (m *Meter) Dial(timeout time.Duration) func(ctx context.Context, network, address string) (net.Conn, error) {
 	d := &net.Dialer{Timeout: timeout}
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
@@ -33,7 +34,7 @@
 	}
 }
 
-// Listener returns l with its connections counted.
+// Listener returns a listener that counts the connections of l.
 func (m *Meter) Listener(l net.Listener) net.Listener { return &listener{l, m} }
 
 type listener struct {
--- a/transport/operators/server.go
+++ b/transport/operators/server.go
@@ -1,5 +1,5 @@
-// Package operators serves the operators: review and rollout of bundles,
-// draining, status, metrics and the state dump.
+// Package operators serves the operators' API: review and rollout of bundles, draining, status,
+// metrics and the state dump.
 package operators
 
 import (
@@ -25,7 +25,7 @@
 	"github.com/doorvalve/doorvalve/transport/platform"
 )
 
-// Rollout is what the server needs of the configuration's driver.
+// Rollout changes the configuration; driver/rollout implements it.
 type Rollout interface {
 	Propose(ctx context.Context, content []byte, author, note string) (string, error)
 	SignOff(ctx context.Context, digest, who string) error
@@ -48,15 +48,16 @@
 	Log     *decisions.Log
 }
 
-// Server is safe for concurrent use.
+// Server serves the operators' API. It is safe for concurrent use.
 type Server struct{ opt Options }
 
 // New returns a server.
 func New(opt Options) *Server { return &Server{opt: opt} }
 
+// operatorKey is the key of the operator's name in a request's echo context.
 const operatorKey = "operator"
 
-// Handler returns the routes.
+// Handler returns the handler of the operators' API.
 func (s *Server) Handler() http.Handler {
 	e := echo.New()
 	e.Use(s.authenticate)
@@ -73,8 +74,8 @@
 	return e
 }
 
-// authenticate finds the operator of a bearer token. All tokens are compared,
-// each in constant time.
+// authenticate finds the operator of a request by its bearer token, and refuses requests without a
+// known token. It compares all tokens, each in constant time.
 func (s *Server) authenticate(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		token, _ := strings.CutPrefix(c.Request().Header.Get("Authorization"), "Bearer ")
@@ -94,17 +95,19 @@
 	}
 }
 
+// operator returns the name of the operator of an authenticated request.
 func operator(c echo.Context) string {
 	name, _ := c.Get(operatorKey).(string)
 	return name
 }
 
+// answer writes a refusal.
 func answer(c echo.Context, r *protocol.Refusal) error {
 	r.WriteTo(c.Response())
 	return nil
 }
 
-// fail maps an error to a problem.
+// fail writes the problem for an error.
 func fail(c echo.Context, err error) error {
 	var issues bundle.Issues
 	var conflict *rules.Conflict
@@ -122,7 +125,7 @@
 	}
 }
 
-// Proposed is the answer to a proposal.
+// ProposeResponse is the answer to a proposal of a bundle.
 type ProposeResponse struct {
 	Digest string `json:"digest"`
 }
@@ -156,10 +159,10 @@
 	return c.NoContent(http.StatusNoContent)
 }
 
-// RolloutRequest asks for a rollout.
+// RolloutRequest is the request for a rollout of a bundle.
 type RolloutRequest struct {
 	Digest   string `json:"digest"`
-	Expected uint64 `json:"expected_generation"` // that the operator saw in force
+	Expected uint64 `json:"expected_generation"` // the generation that the operator saw in force
 }
 
 func (s *Server) rollout(c echo.Context) error {
@@ -185,7 +188,7 @@
 	return c.JSON(http.StatusOK, p)
 }
 
-// Status says which daemon runs which generation, as this daemon sees it.
+// Status lists the daemons and their generations, in the view of the daemon that answers.
 type Status struct {
 	Daemons []membership.Member `json:"daemons"`
 }
--- a/transport/peers/peers.go
+++ b/transport/peers/peers.go
@@ -1,4 +1,5 @@
-// Package peers carries the calls between daemons.
+// Package peers provides the clients of other daemons, and the authentication of calls between
+// daemons.
 package peers
 
 import (
@@ -16,20 +17,20 @@
 	"github.com/doorvalve/doorvalve/transport/silence"
 )
 
-// CallTimeout bounds each call between daemons.
+// CallTimeout is the timeout of each call between daemons.
 const CallTimeout = 2 * time.Second
 
-// Client carries calls to the other daemons. It is safe for concurrent use.
+// Client makes calls to other daemons. It is safe for concurrent use.
 type Client struct {
 	http  *http.Client
 	meter meter.Meter
 	peers *Clients[peerpb.Peer]
 }
 
-// tokenHeader carries the secret that all daemons share.
+// tokenHeader is the header of the secret that all daemons share.
 const tokenHeader = "Doorvalve-Peer-Token"
 
-// withToken adds the secret to each call.
+// withToken is a transport that adds the shared secret to each request.
 type withToken struct {
 	token string
 	next  http.RoundTripper
@@ -42,7 +43,8 @@
 	return w.next.RoundTrip(r)
 }
 
-// Guard refuses calls without the secret; an empty one lets all in.
+// Guard returns a handler that refuses calls without the shared secret token. If token is empty, it
+// returns next, so that all calls are served.
 func Guard(token string, next http.Handler) http.Handler {
 	if token == "" {
 		return next
@@ -58,7 +60,8 @@
 	})
 }
 
-// NewClient returns a client that shows the token, if any.
+// NewClient returns a client that sends the shared secret token with each call. An empty token is not
+// sent.
 func NewClient(token string) *Client {
 	c := &Client{}
 	t := silence.Transport{Transport: &http.Transport{DialContext: c.meter.Dial(CallTimeout), MaxIdleConnsPerHost: 4, IdleConnTimeout: 30 * time.Second}}
@@ -70,33 +73,34 @@
 	return c
 }
 
-// Meter returns the meter of the connections to and from peers.
+// Meter returns the meter of the connections to peers. The daemon's listener for peers uses it, too.
 func (c *Client) Meter() *meter.Meter { return &c.meter }
 
 // To returns the client for a daemon's peer address.
 func (c *Client) To(address string) peerpb.Peer { return c.peers.To(address) }
 
-// Fleets returns the clients of the other daemons' part of the fleet.
+// Fleets returns clients for the Fleet service of daemons.
 func (c *Client) Fleets() *Clients[fleetpb.Fleet] {
 	return newClients(func(base string) fleetpb.Fleet { return fleetpb.NewFleetProtobufClient(base, c.http) })
 }
 
-// Quarantines returns the clients of the other daemons' quarantines.
+// Quarantines returns clients for the Quarantine service of daemons.
 func (c *Client) Quarantines() *Clients[quarantinepb.Quarantine] {
 	return newClients(func(base string) quarantinepb.Quarantine {
 		return quarantinepb.NewQuarantineProtobufClient(base, c.http)
 	})
 }
 
-// Quotas returns the clients of the other daemons' quotas.
+// Quotas returns clients for the Quotas service of daemons.
 func (c *Client) Quotas() *Clients[quotapb.Quotas] {
 	return newClients(func(base string) quotapb.Quotas { return quotapb.NewQuotasProtobufClient(base, c.http) })
 }
 
-// maxClients bounds the cache; it is emptied when daemons have come and gone.
+// maxClients bounds a cache of clients. The cache is cleared when it is full, since it then holds
+// mostly addresses of daemons that have left.
 const maxClients = 1024
 
-// Clients keeps one client of a service for each daemon's address, so that a call builds none.
+// Clients caches one client of a service for each daemon's address, so that calls need not build one.
 // It is safe for concurrent use.
 type Clients[T any] struct {
 	build     func(base string) T
@@ -104,7 +108,7 @@
 	byAddress map[string]T
 }
 
-// newClients returns the clients of a service; build makes one from a base URL.
+// newClients returns an empty cache; build returns a new client for a base URL.
 func newClients[T any](build func(base string) T) *Clients[T] {
 	return &Clients[T]{build: build, byAddress: map[string]T{}}
 }
--- a/transport/peers/peers_test.go
+++ b/transport/peers/peers_test.go
@@ -29,7 +29,8 @@
 	}
 }
 
-// Calls to one daemon share a client, and daemons that have come and gone are not kept for ever.
+// Calls to one daemon share a client, and the clients of daemons that have left are dropped at some
+// point.
 func TestOneClientForEachAddress(t *testing.T) {
 	built := 0
 	c := newClients(func(base string) string {
@@ -38,16 +39,16 @@
 	})
 	for range 3 {
 		if got := c.To("127.0.0.1:1"); got != "http://127.0.0.1:1" {
-			t.Fatalf("client of %q", got)
+			t.Fatalf("got the client for %q", got)
 		}
 	}
 	if built != 1 {
-		t.Errorf("built %d clients for three calls to one daemon", built)
+		t.Errorf("built %d clients for three calls to one daemon, want 1", built)
 	}
 	for i := range 2 * maxClients {
 		c.To(strconv.Itoa(i))
 	}
 	if n := len(c.byAddress); n > maxClients {
-		t.Errorf("%d clients are kept, more than %d", n, maxClients)
+		t.Errorf("the cache holds %d clients, want at most %d", n, maxClients)
 	}
 }
--- a/transport/platform/client.go
+++ b/transport/platform/client.go
@@ -27,30 +27,30 @@
 // Error is the class of every error that this package creates.
 var Error = errs.Class("platform")
 
-// ErrNotFound says that the platform answered and has no such object.
+// ErrNotFound reports that the platform answered that it has no such object.
 var ErrNotFound = lease.ErrNotFound
 
-// ErrHistoryLost says that the platform cannot tell what has changed since a version.
+// ErrHistoryLost reports that the platform can't list the changes since a version.
 var ErrHistoryLost = discovery.ErrHistoryLost
 
 // Kind is a kind of object.
 type Kind string
 
-// The kinds that the system keeps.
+// The kinds of objects that the system stores.
 const (
-	KindBundle    Kind = "bundle"    // immutable content, by digest
-	KindReview    Kind = "review"    // author and sign-offs, by digest
-	KindConfig    Kind = "config"    // the pointer to the bundle in force
-	KindLease     Kind = "lease"     // by group
-	KindPlacement Kind = "placement" // by group
-	KindClaim     Kind = "claim"     // heads, by shard
-	KindSegment   Kind = "segment"   // sealed claims
+	KindBundle    Kind = "bundle"    // immutable content of bundles, by digest
+	KindReview    Kind = "review"    // author and sign-offs of bundles, by digest
+	KindConfig    Kind = "config"    // pointer to the bundle in force
+	KindLease     Kind = "lease"     // leases, by group
+	KindPlacement Kind = "placement" // placements, by group
+	KindClaim     Kind = "claim"     // heads of claims, by shard
+	KindSegment   Kind = "segment"   // sealed segments of claims
 	KindDrain     Kind = "drain"     // endpoints drained by operators
-	KindHeldBack  Kind = "held-back" // requests under which endpoints end
-	KindLimits    Kind = "limits"    // that endpoints name
+	KindHeldBack  Kind = "held-back" // requests quarantined because endpoints crash under them
+	KindLimits    Kind = "limits"    // rate limits that endpoints report
 )
 
-// Object is one stored value.
+// Object is a stored object.
 type Object struct {
 	Kind    Kind            `json:"kind"`
 	Name    string          `json:"name"`
@@ -59,7 +59,7 @@
 	Deleted bool            `json:"deleted"`
 }
 
-// Host is one entry of the host list, which lags behind reality.
+// Host is one entry of the platform's host list, which lags behind the actual hosts.
 type Host struct {
 	Name    string `json:"name"`
 	Address string `json:"address"`
@@ -75,14 +75,16 @@
 
 // Options configure a Client.
 type Options struct {
-	URL     string
-	Timeout time.Duration // until the answer to a call begins that is no watch
-	// Generations hears of the generation that each answer names; nil: nobody does.
+	URL string
+	// Timeout bounds the time until an answer begins; a watch may wait in addition to it.
+	Timeout time.Duration
+	// Generations observes the generation that each answer names. It may be nil.
 	Generations *generations.Tracker
 }
 
-// headerGeneration names the platform's generation in each of its answers: it rises each time its
-// objects come back from a copy. A platform that never says one has a single generation.
+// headerGeneration is the header of the platform's generation, which increases each time the
+// platform's objects are restored from a copy. A platform that never sends it has a single
+// generation.
 const headerGeneration = "Platform-Generation"
 
 // Client calls the platform. It is safe for concurrent use.
@@ -91,7 +93,7 @@
 	http  *http.Client
 	calls atomic.Int64
 	meter meter.Meter
-	hosts atomic.Pointer[hostList] // last seen
+	hosts atomic.Pointer[hostList] // last received; nil before the first
 }
 
 // New returns a client.
@@ -101,24 +103,26 @@
 	return c
 }
 
-// Bytes returns the bytes exchanged.
+// Bytes returns the number of bytes exchanged with the platform.
 func (c *Client) Bytes() meter.Counts { return c.meter.Counts() }
 
 // Calls returns the number of calls made.
 func (c *Client) Calls() int64 { return c.calls.Load() }
 
-// answer is what the platform said to a call.
+// answer is the platform's answer to a call.
 type answer struct {
 	status     int
 	generation uint64
 	body       []byte
 }
 
-// at returns a version of the platform's generation.
+// at returns the version with a revision in the platform's generation.
 func (a *answer) at(revision uint64) storeversion.Version {
 	return storeversion.Version{Generation: a.generation, Revision: revision}
 }
 
+// do makes a call. version is the expected version of the object, empty for none; timeout bounds the
+// time until the answer begins.
 func (c *Client) do(ctx context.Context, method, path string, version string, body []byte, timeout time.Duration) (a answer, err error) {
 	ctx, limit := silence.Limit(ctx, timeout)
 	defer limit.End()
@@ -144,7 +148,8 @@
 	return a, Error.Wrap(limit.Explain(err))
 }
 
-// getJSON decodes an answer into v. It returns the platform's generation also with ErrNotFound.
+// getJSON gets a path and decodes the answer into v. The answer holds the platform's generation also
+// with ErrNotFound.
 func (c *Client) getJSON(ctx context.Context, path string, timeout time.Duration, v any) (answer, error) {
 	a, err := c.do(ctx, http.MethodGet, path, "", nil, timeout)
 	switch {
@@ -164,8 +169,8 @@
 	return "/objects/" + string(kind) + "/" + url.PathEscape(name)
 }
 
-// Get reads an object's value into v and returns its version. It returns
-// ErrNotFound, with the platform's generation, when there is none.
+// Get reads an object's value into v and returns its version. If there is no such object, it returns
+// ErrNotFound and a version that holds only the platform's generation.
 func (c *Client) Get(ctx context.Context, kind Kind, name string, v any) (storeversion.Version, error) {
 	var o Object
 	a, err := c.getJSON(ctx, objectPath(kind, name), c.opt.Timeout, &o)
@@ -175,16 +180,16 @@
 	return a.at(o.Version), Error.Wrap(json.Unmarshal(o.Value, v))
 }
 
-// List returns all objects of a kind, and the generation that their versions are of.
+// List returns all objects of a kind, and the generation of their versions.
 func (c *Client) List(ctx context.Context, kind Kind) (list []Object, generation uint64, err error) {
 	a, err := c.getJSON(ctx, "/objects/"+string(kind), c.opt.Timeout, &list)
 	return list, a.generation, err
 }
 
-// Put writes v if the object's version is still expected; an absent one means that the object must
-// not exist. A version of an older generation than the platform's is no condition, as its revision
-// may by now be that of another content: it is not sent, and a write that met one has an unknown
-// outcome.
+// Put writes v if the object's version is still expected; an absent version (see IfAbsent) means that
+// the object must not exist. A version of an older generation than the platform's can't be used as a
+// condition, since its revision may now belong to other content: Put returns a conflict without
+// sending it. If the platform's generation changes during the write, the outcome is unknown.
 func (c *Client) Put(ctx context.Context, kind Kind, name string, expected storeversion.Version, v any) (version storeversion.Version, outcome protocol.WriteOutcome) {
 	if c.opt.Generations.Outdated(expected) {
 		return storeversion.Version{Generation: c.opt.Generations.Highest()}, protocol.WriteConflict
@@ -207,26 +212,26 @@
 	return a.at(o.Version), protocol.WriteOK
 }
 
-// Absent returns the condition that an object must not exist.
+// IfAbsent returns the version to expect in Put for an object that must not exist.
 func (c *Client) IfAbsent() storeversion.Version {
 	return storeversion.Version{Generation: c.opt.Generations.Highest()}
 }
 
-// Delete removes an object; an absent one is no error.
+// Delete removes an object. It is not an error if there is no such object.
 func (c *Client) Delete(ctx context.Context, kind Kind, name string) error {
 	_, err := c.do(ctx, http.MethodDelete, objectPath(kind, name), "", nil, c.opt.Timeout)
 	return err
 }
 
-// Watched is the answer to a watch.
+// WatchResult is the answer to a watch.
 type WatchResult struct {
 	Revision   uint64   `json:"revision"`
 	Objects    []Object `json:"objects"`
-	Generation uint64   `json:"-"` // of the revisions
+	Generation uint64   `json:"-"` // generation of the revisions
 }
 
-// Watch waits up to wait for a change of one of the kinds after a version. It returns
-// ErrHistoryLost where the platform's objects have come back from a copy since.
+// Watch waits up to wait for changes of objects of the given kinds after a version. It returns
+// ErrHistoryLost if the platform's objects have been restored from a copy since that version.
 func (c *Client) Watch(ctx context.Context, kinds []Kind, since storeversion.Version, wait time.Duration) (WatchResult, error) {
 	names := make([]string, len(kinds))
 	for i, k := range kinds {
@@ -248,8 +253,8 @@
 	list []Host
 }
 
-// Hosts returns the host list; the caller must not change it. An unchanged list
-// costs a short answer where the platform knows entity tags.
+// Hosts returns the host list; the caller must not change it. If the list is unchanged, a platform
+// that supports entity tags answers without a body.
 func (c *Client) Hosts(ctx context.Context) ([]Host, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.opt.Timeout)
 	defer cancel()
@@ -281,16 +286,16 @@
 	return next.list, nil
 }
 
-// recordObject is the only object of a record's kind.
+// recordObject is the name of the only object of a record's kind.
 const recordObject = "main"
 
-// ReadRecord decodes the record of a name into v; ErrNotFound says that there is none.
+// ReadRecord reads the record with a name into v. It returns ErrNotFound if there is none.
 func (c *Client) ReadRecord(ctx context.Context, name string, v any) (storeversion.Version, error) {
 	return c.Get(ctx, Kind(name), recordObject, v)
 }
 
-// WriteRecord writes the record of a name if its version is still expected; an absent one means
-// that it must not exist.
+// WriteRecord writes the record with a name if its version is still expected; an absent version means
+// that the record must not exist. The error is always nil.
 func (c *Client) WriteRecord(ctx context.Context, name string, expected storeversion.Version, v any) (version storeversion.Version, outcome protocol.WriteOutcome, err error) {
 	version, outcome = c.Put(ctx, Kind(name), recordObject, expected, v)
 	return version, outcome, nil
--- a/transport/proxy/proxy.go
+++ b/transport/proxy/proxy.go
@@ -1,5 +1,5 @@
-// Package proxy sends one attempt of a caller's request to one endpoint and
-// says of each failure whether the request may have run there.
+// Package proxy sends one attempt of a caller's request to one endpoint. Each failure reports
+// whether the request may have run there.
 package proxy
 
 import (
@@ -17,7 +17,7 @@
 	"github.com/doorvalve/doorvalve/transport/engine"
 )
 
-// Request is one attempt.
+// Request describes one attempt.
 type Request struct {
 	Method     string
 	URI        string // path and query at the endpoint
@@ -27,28 +27,29 @@
 	AttemptID  string
 	Worth      int64
 	Repeatable bool
-	// ResumeFrom is the offset of the last stream event that arrived; 0 for a
-	// new stream.
+	// ResumeFrom is the offset of the last stream event that was forwarded; 0 for a new stream.
+	// Stream sets it.
 	ResumeFrom int
-	// MustEcho says that the endpoint echoes the attempt's id.
+	// MustEcho: the endpoint echoes AttemptID in its answers, so that an answer without it is a
+	// failure.
 	MustEcho bool
-	// Heard takes what the endpoint says of itself, if it answers; whole says that what is not
-	// said counts, too. nil: nobody does.
+	// ObserveBackpressure receives the backpressure signals of an answer, if there is one. whole
+	// reports whether the absence of a signal counts, too. It may be nil.
 	ObserveBackpressure func(says protocol.Backpressure, whole bool)
 }
 
-// Failure is an attempt without a whole answer.
+// Failure describes an attempt that brought no complete answer.
 type Failure struct {
 	Verdict protocol.Verdict
 	Reason  string
 	Err     error
-	Leaving bool // the endpoint takes no new work
-	Paused  bool // the endpoint wants a pause
-	Full    bool // the endpoint's slots are taken
+	Leaving bool // the endpoint is leaving and takes no new work
+	Paused  bool // the endpoint asked for a pause
+	Full    bool // all slots of the endpoint are taken
 	Broken  bool // the connection to the endpoint broke
 }
 
-// ReasonUnreachable is the reason of an attempt whose connection could not be opened.
+// ReasonUnreachable is the reason of a failure to open the connection.
 const ReasonUnreachable = "endpoint-unreachable"
 
 // Error implements error.
@@ -62,8 +63,8 @@
 // Client sends attempts. It is safe for concurrent use.
 type Client struct {
 	repeatable *http.Client
-	// once opens a connection for each request, so that no reused connection
-	// can break under it and nothing is sent twice.
+	// once opens a connection for each request. It serves requests that may run only once: a
+	// reused connection may break under a request, and the transport would send it again.
 	once        *http.Client
 	answerBytes int64
 }
@@ -71,7 +72,7 @@
 // dialTimeout bounds the time to connect to an endpoint.
 const dialTimeout = 500 * time.Millisecond
 
-// New returns a client. Answers that are not streamed may have answerBytes.
+// New returns a client. answerBytes bounds the body of an answer that is not a stream.
 func New(answerBytes int64) *Client {
 	dial := (&net.Dialer{Timeout: dialTimeout}).DialContext
 	return &Client{
@@ -81,17 +82,18 @@
 	}
 }
 
-// bodyReader hides the type of the body, so that the transport cannot rewind
-// it and send a request a second time by itself.
+// bodyReader hides the type of the body, so that the transport can't rewind it and resend a request
+// by itself.
 type bodyReader struct{ io.Reader }
 
-// hopHeaders are not passed on.
+// hopHeaders are the request headers that are not forwarded to the endpoint.
 var hopHeaders = []string{
 	"Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Authorization", protocol.HeaderTimeout, "Content-Length", "Accept-Encoding",
 }
 
-// send sends the request and classifies a failure before the answer's header.
+// send sends the request and reads the answer's header. Its failures say whether the request may
+// have run.
 func (c *Client) send(ctx context.Context, address string, r *Request) (*http.Response, *Failure) {
 	req, err := http.NewRequestWithContext(ctx, r.Method, "http://"+address+r.URI, bodyReader{bytes.NewReader(r.Body)})
 	if err != nil {
@@ -122,7 +124,7 @@
 	if f := refusedUnrun(resp); f != nil {
 		_ = resp.Body.Close()
 		says.Leaving, f.Paused = f.Leaving, says.Pause.For > 0
-		r.heard(says, false) // it may come from what stands before the endpoint
+		r.heard(says, false) // the refusal may come from a proxy in front of the endpoint
 		return nil, f
 	}
 	if got := resp.Header.Get(protocol.HeaderAttemptID); got != r.AttemptID && (got != "" || r.MustEcho) {
@@ -139,7 +141,7 @@
 	}
 }
 
-// backpressure reads what an endpoint says of itself in an answer.
+// backpressure reads the backpressure signals of an answer.
 func backpressure(resp *http.Response) protocol.Backpressure {
 	says := protocol.Backpressure{
 		Leaving: protocol.ReadLeaving(resp.Header[protocol.HeaderLeaving]),
@@ -161,8 +163,8 @@
 	return &Failure{Verdict: protocol.MayHaveRun, Reason: "endpoint-failed", Err: err, Broken: true}
 }
 
-// refusedUnrun recognises an endpoint's own word that it has not run the
-// request. Any other status is the endpoint's answer.
+// refusedUnrun returns the failure of an answer that reports that the request has not run; nil for
+// other answers, which are for the caller whatever their status.
 func refusedUnrun(resp *http.Response) *Failure {
 	if resp.Header.Get(protocol.HeaderVerdict) != protocol.NotRun.String() {
 		return nil
@@ -171,7 +173,7 @@
 		return nil
 	}
 	var refusal protocol.Refusal
-	_ = json.NewDecoder(io.LimitReader(resp.Body, 4096)).Decode(&refusal) // only the reason is used
+	_ = json.NewDecoder(io.LimitReader(resp.Body, 4096)).Decode(&refusal) // only the reason is used, so errors don't matter
 	return &Failure{
 		Verdict: protocol.NotRun, Reason: "endpoint-refused", Err: errors.New(refusal.Reason),
 		Leaving: refusal.Reason == "leaving" || protocol.ReadLeaving(resp.Header[protocol.HeaderLeaving]),
@@ -179,14 +181,14 @@
 	}
 }
 
-// Answer is a whole answer.
+// Answer is a complete answer.
 type Answer struct {
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
-// Whole returns an endpoint's whole answer, or a failure; never a part.
+// Do returns the complete answer of an endpoint, or a failure.
 func (c *Client) Do(ctx context.Context, address string, r *Request) (*Answer, *Failure) {
 	resp, f := c.send(ctx, address, r)
 	if f != nil {
--- a/transport/proxy/stream.go
+++ b/transport/proxy/stream.go
@@ -16,27 +16,27 @@
 // maxEventBytes bounds one event of a stream.
 const maxEventBytes = 1 << 20
 
-// doneMark ends a stream that is whole.
+// doneMark is the data of the last event of a complete stream.
 const doneMark = "[DONE]"
 
-// Sink takes a stream on its way to the caller.
+// Sink receives the events of a stream and sends them to the caller.
 type Sink interface {
-	// Event takes the data of one event, in order and without gaps.
+	// WriteEvent writes the data of one event. It is called in order and without gaps.
 	WriteEvent(data []byte) error
 }
 
-// ErrCallerGone says that the sink does not take the stream any more.
+// ErrCallerGone reports that the sink could not write an event.
 var ErrCallerGone = errors.New("the caller has gone")
 
-// Progress is how far a stream has come, across its attempts.
+// Progress is the progress of a stream, over all attempts.
 type Progress struct {
-	Offset int // of the last event handed on
-	Done   bool
+	Offset int  // offset of the last event forwarded; 0 before the first
+	Done   bool // the end mark was forwarded
 }
 
-// Stream hands the events of one attempt to the sink. It checks each event's
-// attempt and offset, so that a crossed, doubled or missing event is never
-// handed on. After a failure, a further attempt may go on from p.
+// Stream writes the events of one attempt to the sink. It checks the attempt id and offset of each
+// event, so that an event of another request and a duplicate are never forwarded, and a gap is a
+// failure. After a failure, another attempt may continue from p.
 func (c *Client) Stream(ctx context.Context, address string, r *Request, p *Progress, sink Sink) *Failure {
 	r.ResumeFrom = p.Offset
 	resp, f := c.send(ctx, address, r)
@@ -70,7 +70,7 @@
 	return &Failure{Verdict: protocol.MayHaveRun, Reason: "stream-cut", Broken: true}
 }
 
-// take checks one event and hands it on.
+// take checks one event and writes it to the sink.
 func (p *Progress) take(attempt, id string, data []byte, sink Sink) *Failure {
 	name, offsetText, _ := strings.Cut(id, ":")
 	offset, err := strconv.Atoi(offsetText)
@@ -78,7 +78,7 @@
 	case name != attempt || err != nil:
 		return &Failure{Verdict: protocol.MayHaveRun, Reason: "crossed-answer"}
 	case offset <= p.Offset:
-		return nil // doubled
+		return nil // duplicate
 	case offset != p.Offset+1:
 		return &Failure{Verdict: protocol.MayHaveRun, Reason: "stream-gap"}
 	}
--- a/transport/silence/silence_test.go
+++ b/transport/silence/silence_test.go
@@ -14,12 +14,12 @@
 
 type connKey struct{}
 
-// silentServer answers until its connections are silenced; new ones work.
+// silentServer stops answering on the connections up to silent; newer ones work.
 type silentServer struct {
 	*httptest.Server
 	mu      sync.Mutex
 	opened  int
-	silent  int // connections up to this one are dead
+	silent  int // the number of the last connection without answers
 	holding chan struct{}
 	end     chan struct{}
 }
@@ -64,8 +64,8 @@
 	return resp.Body.Close()
 }
 
-// One request without an answer is enough: the next goes out on a new
-// connection, however many silent ones were kept.
+// After a single timeout, the next request goes out on a new connection, however many silent
+// connections were idle. Otherwise each of them would cost another timeout.
 func TestOneTimeoutIsEnough(t *testing.T) {
 	s := newSilentServer(t)
 	c := &http.Client{Transport: Transport{&http.Transport{MaxIdleConnsPerHost: 8}}}
@@ -89,14 +89,14 @@
 	s.silent = s.opened
 	s.mu.Unlock()
 	if s.get(c, "/", 50*time.Millisecond) == nil {
-		t.Fatal("a silent connection answered")
+		t.Fatal("a request on a silent connection was answered")
 	}
 	if err := s.get(c, "/", patience); err != nil {
 		t.Fatalf("the next request waited on another silent connection: %v", err)
 	}
 }
 
-// slowServer begins its answers at once or late, and ends them late.
+// slowServer starts its answers when begin is closed, and completes them when end is closed.
 func slowServer(t *testing.T, begin, end <-chan struct{}) *httptest.Server {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		<-begin
@@ -109,7 +109,7 @@
 	return s
 }
 
-// An answer that has begun in time is not cut off when that time is over.
+// An answer that has begun in time is not cut off when the time for its beginning is over.
 func TestTransferHasATimeOfItsOwn(t *testing.T) {
 	begin, end := make(chan struct{}), make(chan struct{})
 	close(begin)
@@ -134,7 +134,7 @@
 	}
 }
 
-// One that does not begin in time is given up on, and says why.
+// A request whose answer does not begin in time fails with context.DeadlineExceeded.
 func TestAnswerMustBegin(t *testing.T) {
 	begin := make(chan struct{})
 	s := slowServer(t, begin, begin)
@@ -148,9 +148,9 @@
 	resp, err := http.DefaultClient.Do(req)
 	if err == nil {
 		_ = resp.Body.Close()
-		t.Fatal("an answer that did not begin")
+		t.Fatal("got an answer, want a timeout")
 	}
 	if err := limit.Explain(err); !errors.Is(err, context.DeadlineExceeded) {
-		t.Fatalf("the reason is lost: %v", err)
+		t.Fatalf("got error %v, want context.DeadlineExceeded", err)
 	}
 }
