--- a/transport/callers/addresses.go
+++ b/transport/callers/addresses.go
@@ -47,7 +47,7 @@
 	usable := slices.DeleteFunc(slices.Clone(members), func(m membership.Member) bool {
 		return m.Status != membership.Alive || m.Leaving || m.Generation == 0 || m.ID == self && !serving
 	})
-	away := func(m membership.Member) int {
+	otherDomain := func(m membership.Member) int {
 		if m.FailureDomain == domain {
 			return 0
 		}
@@ -55,7 +55,7 @@
 	}
 	spread := func(m membership.Member) uint64 { return xxhash.Sum64String(caller + m.ID) }
 	slices.SortFunc(usable, func(a, b membership.Member) int {
-		return cmp.Or(cmp.Compare(away(a), away(b)), cmp.Compare(a.Load, b.Load), cmp.Compare(spread(a), spread(b)))
+		return cmp.Or(cmp.Compare(otherDomain(a), otherDomain(b)), cmp.Compare(a.Load, b.Load), cmp.Compare(spread(a), spread(b)))
 	})
 	usable = usable[:min(len(usable), MaxAddresses)]
 	list := make([]Address, len(usable))
--- a/transport/callers/call.go
+++ b/transport/callers/call.go
@@ -42,15 +42,15 @@
 	deadline time.Time
 	affinity uint64
 	stream   bool
-	engine   bool // the endpoint echoes attempt ids
+	mustEcho bool // the endpoint echoes attempt ids
 	// key is the idempotency key of a request that may run at most once; nil for other requests.
-	key     *claims.Key
-	gate    *gate.Gate
-	print   protocol.Fingerprint
-	trial   quarantiner.Probe // the probe that this attempt is; zero for none
-	ticket  quotas.Ticket     // what the request took of its workspace's quota
-	pass    quotas.Ticket     // what this attempt took of its endpoint's rate limit
-	version string            // version of the model; empty for plain services
+	key         *claims.Key
+	gate        *gate.Gate
+	print       protocol.Fingerprint
+	probe       quarantiner.Probe // the probe that this attempt is; zero for none
+	ticket      quotas.Ticket     // what the request took of its workspace's quota
+	limitTicket quotas.Ticket     // what this attempt took of its endpoint's rate limit
+	version     string            // version of the model; empty for plain services
 	// The following fields are for the log.
 	class      string
 	generation uint64
@@ -59,8 +59,8 @@
 	queued     time.Duration // time waited for slots, over all attempts
 }
 
-// prefixBytes is the length of the prefix of a body that determines the affinity of a request.
-const prefixBytes = 1024
+// affinityBytes is the length of the prefix of a body that determines the affinity of a request.
+const affinityBytes = 1024
 
 // completion serves a call to a model.
 func (s *Server) completion(c echo.Context, conf *snapshot.Snapshot) *protocol.Refusal {
@@ -77,10 +77,10 @@
 	if !ok {
 		return protocol.Refuse(http.StatusNotFound, "unknown-model", "no model or adapter "+strconv.Quote(head.Model)+" in the configuration", 0)
 	}
-	cl.unit, cl.uri, cl.stream, cl.engine = unit.Name, r.URL.Path, head.Stream, true
+	cl.unit, cl.uri, cl.stream, cl.mustEcho = unit.Name, r.URL.Path, head.Stream, true
 	cl.version = unit.Version
 	cl.worth += unit.Worth
-	cl.affinity = xxhash.Sum64(cl.body[:min(len(cl.body), prefixBytes)])
+	cl.affinity = xxhash.Sum64(cl.body[:min(len(cl.body), affinityBytes)])
 	if refusal := cl.setKey(r, ident, unit.Service, false); refusal != nil {
 		return refusal
 	}
@@ -231,9 +231,9 @@
 	claimed := false
 	verdict := protocol.NotRun // the worst verdict of all attempts
 	for n := 1; ; n++ {
-		asked := time.Now()
+		acquireStart := time.Now()
 		slot, refusal := s.acquire(ctx, cl)
-		cl.queued += time.Since(asked)
+		cl.queued += time.Since(acquireStart)
 		if refusal == nil && cl.key != nil && !claimed {
 			if refusal = s.claim(ctx, cl); refusal != nil {
 				cl.gate.Release(slot, 0)
@@ -242,7 +242,7 @@
 			claimed = true
 		}
 		if refusal != nil {
-			s.unclaim(cl, claimed && verdict == protocol.NotRun)
+			s.releaseClaim(cl, claimed && verdict == protocol.NotRun)
 			refusal.Verdict = max(refusal.Verdict, verdict)
 			return refusal
 		}
@@ -252,11 +252,11 @@
 			return nil
 		}
 		verdict = max(verdict, f.Verdict)
-		again := s.mayRetry(ctx, cl, f, n, out)
+		mayRetry := s.mayRetry(ctx, cl, f, n, out)
 		s.opt.Log.Info(decisions.EventAttemptFailed, "request", cl.id, "attempt", n, "model", cl.unit, "endpoint", slot.Endpoint.Name,
-			"reason", f.Reason, "error", f.Err, "verdict", f.Verdict.String(), "again", again, "fingerprint", cl.print.String(), "queued_ms", cl.queued.Milliseconds(), "generation", cl.generation)
-		if !again {
-			s.unclaim(cl, claimed && verdict == protocol.NotRun)
+			"reason", f.Reason, "error", f.Err, "verdict", f.Verdict.String(), "again", mayRetry, "fingerprint", cl.print.String(), "queued_ms", cl.queued.Milliseconds(), "generation", cl.generation)
+		if !mayRetry {
+			s.releaseClaim(cl, claimed && verdict == protocol.NotRun)
 			return finalRefusal(f, verdict)
 		}
 		s.metrics.retries.Inc(1)
@@ -269,12 +269,12 @@
 	if refusal := s.opt.Quarantine.CheckHeld(cl.fingerprint, cl.software); refusal != nil {
 		return nil, refusal
 	}
-	slot, refusal := s.acquireOpen(ctx, cl)
+	slot, refusal := s.acquireAvailable(ctx, cl)
 	if refusal != nil {
 		return nil, refusal
 	}
-	if cl.trial, refusal = s.opt.Quarantine.Admit(ctx, cl.fingerprint, cl.software); refusal != nil {
-		s.opt.Throttle.Refund(cl.pass)
+	if cl.probe, refusal = s.opt.Quarantine.Admit(ctx, cl.fingerprint, cl.software); refusal != nil {
+		s.opt.Throttle.Refund(cl.limitTicket)
 		cl.gate.Release(slot, 0)
 		return nil, refusal
 	}
@@ -286,34 +286,36 @@
 // software identifies the software that the call runs on, by the configuration that serves it.
 func (cl *call) software() quarantine.Software { return quarantine.SoftwareOf(cl.unit, cl.version) }
 
-// tellQuarantine reports the outcome of an attempt, sent at the given time, to the quarantine. began
-// reports whether events of the answer were forwarded.
-func (s *Server) tellQuarantine(ctx context.Context, cl *call, e bundle.Endpoint, sent time.Time, began bool, f *proxy.Failure) {
-	life := lifeOf(e)
+// reportToQuarantine reports the outcome of an attempt, sent at the given time, to the quarantine.
+// began reports whether events of the answer were forwarded.
+func (s *Server) reportToQuarantine(ctx context.Context, cl *call, e bundle.Endpoint, sent time.Time, began bool, f *proxy.Failure) {
+	incarnation := incarnationOf(e)
 	if f != nil && f.Verdict == protocol.NotRun {
-		s.opt.Quarantine.ReturnProbe(cl.trial)
+		s.opt.Quarantine.ReturnProbe(cl.probe)
 	}
 	switch {
 	case f == nil:
 		s.opt.Quarantine.ObserveSuccess(cl.fingerprint, sent)
 	case f.Reason == proxy.ReasonUnreachable:
-		s.opt.Quarantine.ObserveDialError(life, f.Err)
+		s.opt.Quarantine.ObserveDialError(incarnation, f.Err)
 	case f.Broken && ctx.Err() == nil:
-		s.opt.Quarantine.ObserveBroken(ctx, quarantiner.BrokenAttempt{Request: cl.id, Fingerprint: cl.print, Incarnation: life, Address: e.Address, Sent: sent, AnswerBegan: began, Software: cl.software()})
+		s.opt.Quarantine.ObserveBroken(ctx, quarantiner.BrokenAttempt{Request: cl.id, Fingerprint: cl.print, Incarnation: incarnation, Address: e.Address, Sent: sent, AnswerBegan: began, Software: cl.software()})
 	}
 }
 
-// lifeOf returns the incarnation of an endpoint by its name only: bundles don't distinguish
+// incarnationOf returns the incarnation of an endpoint by its name only: bundles don't distinguish
 // incarnations.
-func lifeOf(e bundle.Endpoint) fleet.Incarnation { return fleet.Incarnation{ID: e.Name} }
+func incarnationOf(e bundle.Endpoint) fleet.Incarnation { return fleet.Incarnation{ID: e.Name} }
 
 // attempt makes attempt number n, at the endpoint of slot, and releases the slot.
 func (s *Server) attempt(ctx context.Context, cl *call, slot *gate.Slot, n int, out *answer) *proxy.Failure {
-	start, sent, heard := time.Now(), clock.Now(), out.progress.Offset
+	start, sent, offsetBefore := time.Now(), clock.Now(), out.progress.Offset
 	req := &proxy.Request{
 		Method: cl.method, URI: cl.uri, Header: cl.header, Body: cl.body, RequestID: cl.id,
-		AttemptID: cl.id + "." + strconv.Itoa(n), Worth: cl.worth, Repeatable: cl.key == nil, MustEcho: cl.engine,
-		ObserveBackpressure: func(says protocol.Backpressure, whole bool) { s.heard(cl, slot.Endpoint, sent, says, whole) },
+		AttemptID: cl.id + "." + strconv.Itoa(n), Worth: cl.worth, Repeatable: cl.key == nil, MustEcho: cl.mustEcho,
+		ObserveBackpressure: func(signals protocol.Backpressure, whole bool) {
+			s.observeBackpressure(cl, slot.Endpoint, sent, signals, whole)
+		},
 	}
 	var f *proxy.Failure
 	var whole *proxy.Answer
@@ -323,17 +325,17 @@
 		whole, f = s.opt.Proxy.Do(ctx, slot.Endpoint.Address, req)
 	}
 	if f != nil && f.Reason == proxy.ReasonUnreachable {
-		s.opt.Throttle.Refund(cl.pass)
+		s.opt.Throttle.Refund(cl.limitTicket)
 	}
-	took := time.Since(start)
-	s.tellQuarantine(ctx, cl, slot.Endpoint, sent, out.progress.Offset > heard, f)
+	duration := time.Since(start)
+	s.reportToQuarantine(ctx, cl, slot.Endpoint, sent, out.progress.Offset > offsetBefore, f)
 	if f != nil {
-		took = 0
+		duration = 0
 		s.avoid(cl, slot, f)
 	}
-	cl.gate.Release(slot, took)
+	cl.gate.Release(slot, duration)
 	if whole != nil {
-		out.whole(whole) // after the release, so that a slow caller occupies no slot
+		out.writeWhole(whole) // after the release, so that a slow caller occupies no slot
 	}
 	return f
 }
@@ -377,21 +379,21 @@
 		if ctx.Err() == nil {
 			return nil
 		}
-		s.unclaim(cl, true)
+		s.releaseClaim(cl, true)
 		return protocol.Refuse(http.StatusServiceUnavailable, "deadline-passed", "the key was claimed too late", retryAfterStart)
 	case claims.Duplicate:
 		return protocol.RefuseMayHaveRun(http.StatusConflict, "duplicate-key", "a request with this key was accepted before")
 	default:
 		// The request is not sent under this claim, so the verdict "not run" is right even if the
 		// claim was written. The claim is released in the background.
-		go s.unclaim(cl, true)
+		go s.releaseClaim(cl, true)
 		return protocol.Refuse(http.StatusServiceUnavailable, "claims-unavailable", "the key cannot be recorded now", retryAfterStart)
 	}
 }
 
-// unclaim releases the key of a request that has certainly not run, so that the caller can send the
-// request again. It does nothing if claimed is false.
-func (s *Server) unclaim(cl *call, claimed bool) {
+// releaseClaim releases the key of a request that has certainly not run, so that the caller can
+// send the request again. It does nothing if claimed is false.
+func (s *Server) releaseClaim(cl *call, claimed bool) {
 	if !claimed {
 		return
 	}
@@ -456,8 +458,8 @@
 // answerHeaders are passed on to the caller.
 var answerHeaders = []string{"Content-Type", "Location", "ETag", "Cache-Control", "Last-Modified", "Content-Disposition"}
 
-// whole writes an answer that is not a stream.
-func (a *answer) whole(w *proxy.Answer) {
+// writeWhole writes an answer that is not a stream.
+func (a *answer) writeWhole(w *proxy.Answer) {
 	a.begun = true
 	h := a.w.Header()
 	for _, name := range answerHeaders {
--- a/transport/callers/log.go
+++ b/transport/callers/log.go
@@ -13,9 +13,9 @@
 // callKey is the key of the call in a request's echo context.
 const callKey = "call"
 
-// logEnd logs the final answer to a request. For requests that were refused before they were read,
-// the line holds the id, but not the fields of the call.
-func (s *Server) logEnd(c echo.Context, start time.Time, refusal *protocol.Refusal) {
+// logOutcome logs the final answer to a request. For requests that were refused before they were
+// read, the line holds the id, but not the fields of the call.
+func (s *Server) logOutcome(c echo.Context, start time.Time, refusal *protocol.Refusal) {
 	fields := []any{"request", c.Response().Header().Get(protocol.HeaderRequestID), "path", c.Path(), "ms", time.Since(start).Milliseconds()}
 	if cl, ok := c.Get(callKey).(*call); ok {
 		fields = append(fields, "model", cl.unit, "class", cl.class, "attempts", cl.attempts, "endpoint", cl.endpoint,
--- a/transport/callers/server.go
+++ b/transport/callers/server.go
@@ -65,8 +65,8 @@
 }
 
 type metrics struct {
-	answered, refusedNotRun, refusedUnsure, retries tally.Counter
-	duration                                        tally.Histogram
+	answered, refusedNotRun, failedMayHaveRun, retries tally.Counter
+	duration                                           tally.Histogram
 }
 
 // New returns a server.
@@ -74,7 +74,7 @@
 	m := opt.Metrics.SubScope("caller")
 	return &Server{opt: opt, budget: retry.NewBudget(), metrics: metrics{
 		answered: m.Counter("requests_answered_total"), refusedNotRun: m.Counter("requests_refused_not_run_total"),
-		refusedUnsure: m.Counter("requests_failed_may_have_run_total"), retries: m.Counter("attempts_retried_total"),
+		failedMayHaveRun: m.Counter("requests_failed_may_have_run_total"), retries: m.Counter("attempts_retried_total"),
 		duration: m.Histogram("request_duration_seconds", tally.MustMakeExponentialDurationBuckets(time.Millisecond, 2, 18)),
 	}}
 }
@@ -115,7 +115,7 @@
 		defer s.active.Add(-1)
 		refusal := s.admit(c, active, serve)
 		s.metrics.duration.RecordDuration(time.Since(start))
-		s.logEnd(c, start, refusal)
+		s.logOutcome(c, start, refusal)
 		switch {
 		case refusal == nil:
 			s.metrics.answered.Inc(1)
@@ -126,7 +126,7 @@
 				s.opt.Quotas.Refund(cl.ticket)
 			}
 		default:
-			s.metrics.refusedUnsure.Inc(1)
+			s.metrics.failedMayHaveRun.Inc(1)
 		}
 		if !c.Response().Committed {
 			refusal.WriteTo(c.Response())
--- a/transport/edge/arrive.go
+++ b/transport/edge/arrive.go
@@ -15,20 +15,20 @@
 // present view: it asks other daemons for the store's state about once a second.
 const retryUnproven = time.Second
 
-// arrival lists the checks of a new request, in order; each one may refuse it. The body is read
+// receiveSteps lists the checks of a new request, in order; each one may refuse it. The body is read
 // after them, so that a refusal costs no more than reading the header.
-var arrival = []func(s *Server, ctx context.Context, q *request) *protocol.Refusal{
+var receiveSteps = []func(s *Server, ctx context.Context, q *request) *protocol.Refusal{
 	(*Server).checkTarget,
-	(*Server).match,
+	(*Server).matchRoute,
 	(*Server).identify,
-	(*Server).accept,
+	(*Server).checkCapacity,
 	(*Server).chooseService,
-	(*Server).allow,
+	(*Server).takeQuota,
 }
 
-// arrive reads a request and runs the checks of arrival on it. It returns the request also with a
-// refusal, except where the daemon has no desired state yet.
-func (s *Server) arrive(w http.ResponseWriter, r *http.Request, arrived time.Time, active int64) (*request, *protocol.Refusal) {
+// receive reads a request and runs the checks of receiveSteps on it. It returns the request also
+// with a refusal, except where the daemon has no desired state yet.
+func (s *Server) receive(w http.ResponseWriter, r *http.Request, arrived time.Time, active int64) (*request, *protocol.Refusal) {
 	// The age is read before the table, so that the table is at most that old.
 	stateAge := s.opt.StateAge()
 	table := s.opt.Table()
@@ -37,13 +37,13 @@
 	}
 	call, err := s.opt.Dialect.ReadCall(r.Header)
 	q := &request{
-		call: call, arrived: arrived, deadline: arrived.Add(defaultTimeLeft), asleep: clock.Suspended(), active: active,
+		call: call, arrived: arrived, deadline: arrived.Add(defaultTimeLeft), suspendedBefore: clock.Suspended(), active: active,
 		method: r.Method, uri: r.RequestURI, path: r.URL.EscapedPath(), host: r.Host, header: r.Header, table: table, stateAge: stateAge,
 	}
 	if err != nil {
 		return q, protocol.Refuse(http.StatusBadRequest, "bad-request", err.Error(), 0)
 	}
-	for _, step := range arrival {
+	for _, step := range receiveSteps {
 		if refusal := step(s, r.Context(), q); refusal != nil {
 			return q, refusal
 		}
@@ -59,8 +59,8 @@
 	return nil
 }
 
-// match finds the request's route and sets its deadline.
-func (s *Server) match(_ context.Context, q *request) *protocol.Refusal {
+// matchRoute finds the request's route and sets its deadline.
+func (s *Server) matchRoute(_ context.Context, q *request) *protocol.Refusal {
 	q.route = q.table.Match(q.host, q.path)
 	if q.route == nil {
 		return protocol.Refuse(http.StatusNotFound, "no-route", "no route matches", 0)
@@ -72,8 +72,8 @@
 // identify finds the workspace of the request, and decides whether its key is accepted.
 func (s *Server) identify(_ context.Context, q *request) *protocol.Refusal {
 	a := s.opt.Access.Decide(access.Request{Directory: q.table.Workspaces, Public: q.route.Public, Credential: q.call.Credential, Age: q.stateAge})
-	q.who = a.Workspace
-	q.rank = q.route.RankOf(q.who)
+	q.owner = a.Workspace
+	q.rank = q.route.RankOf(q.owner)
 	switch a.Outcome {
 	case access.Denied:
 		return protocol.Refuse(http.StatusUnauthorized, a.Reason, "no workspace has the key of this request", 0)
@@ -83,10 +83,10 @@
 	return nil
 }
 
-// accept refuses streams that would outlast a draining daemon, and requests beyond the bound on
-// requests in progress.
-func (s *Server) accept(_ context.Context, q *request) *protocol.Refusal {
-	if s.opt.Draining() && q.route.Kind == routing.Streaming && time.Until(s.opt.DrainDeadline()) < lastStream {
+// checkCapacity refuses streams that would outlast a draining daemon, and requests beyond the bound
+// on requests in progress.
+func (s *Server) checkCapacity(_ context.Context, q *request) *protocol.Refusal {
+	if s.opt.Draining() && q.route.Kind == routing.Streaming && time.Until(s.opt.DrainDeadline()) < drainStreamReserve {
 		return protocol.Refuse(http.StatusServiceUnavailable, "stopping", "this daemon stops before the stream would end", retryDraining)
 	}
 	if q.active > s.opt.Connections {
@@ -104,29 +104,29 @@
 	return nil
 }
 
-// allow takes the request out of its workspace's quota.
-func (s *Server) allow(ctx context.Context, q *request) *protocol.Refusal {
-	if q.who == nil {
+// takeQuota takes the request out of its workspace's quota.
+func (s *Server) takeQuota(ctx context.Context, q *request) *protocol.Refusal {
+	if q.owner == nil {
 		return nil
 	}
-	cost := q.who.Quota.Cost(q.call.PromptTokens+q.call.OutputTokens, q.call.TokensKnown)
+	cost := q.owner.Quota.Cost(q.call.PromptTokens+q.call.OutputTokens, q.call.TokensKnown)
 	var refusal *protocol.Refusal
-	q.ticket, refusal = s.opt.Quotas.Admit(ctx, q.who, cost, q.late())
+	q.ticket, refusal = s.opt.Quotas.Admit(ctx, q.owner, cost, q.missedTarget())
 	return refusal
 }
 
-// late reports whether the request missed its latency objective before it arrived: the time left
-// that its caller names is shorter than the route's timeout by more than the objective, as it is
-// when a caller retries after a refusal. It is false where the caller names no time or the route
+// missedTarget reports whether the request missed its latency objective before it arrived: the time
+// left that its caller names is shorter than the route's timeout by more than the objective, as it
+// is when a caller retries after a refusal. It is false where the caller names no time or the route
 // has no timeout.
-func (q *request) late() bool {
+func (q *request) missedTarget() bool {
 	return q.call.TimeLeft > 0 && q.route.Timeout > 0 && q.route.Timeout-q.call.TimeLeft > q.route.LatencyTarget
 }
 
-// stillGood refuses a request whose key was revoked while it waited.
-func (s *Server) stillGood(q *request) *protocol.Refusal {
+// recheckKey refuses a request whose key was revoked while it waited.
+func (s *Server) recheckKey(q *request) *protocol.Refusal {
 	newest := s.opt.Table()
-	if newest == q.table || access.StillValid(newest.Workspaces, q.call.Credential, q.route.Public, q.who) {
+	if newest == q.table || access.StillValid(newest.Workspaces, q.call.Credential, q.route.Public, q.owner) {
 		return nil
 	}
 	return protocol.Refuse(http.StatusUnauthorized, access.ReasonUnknownKey, "the key of this request was taken away while it waited", 0)
--- a/transport/edge/attempt.go
+++ b/transport/edge/attempt.go
@@ -34,19 +34,19 @@
 
 // client holds the transports for requests to endpoints.
 type client struct {
-	// kept reuses connections. It serves requests that may be repeated.
-	kept *http.Transport
-	// once opens a connection for each request. It serves requests that may run only once: on a
+	// pooled reuses connections. It serves requests that may be repeated.
+	pooled *http.Transport
+	// perRequest opens a connection for each request. It serves requests that may run only once: on a
 	// reused connection that the endpoint has just closed, it would be unknown whether the
 	// request has run.
-	once *http.Transport
+	perRequest *http.Transport
 }
 
 func newClient() *client {
 	dial := (&net.Dialer{Timeout: dialTimeout, KeepAlive: -1}).DialContext
 	return &client{
-		kept: &http.Transport{DialContext: dial, MaxIdleConnsPerHost: idlePerEndpoint, IdleConnTimeout: idleTimeout, DisableCompression: true, ReadBufferSize: bufferBytes, WriteBufferSize: bufferBytes},
-		once: &http.Transport{DialContext: dial, DisableKeepAlives: true, DisableCompression: true, ReadBufferSize: bufferBytes, WriteBufferSize: bufferBytes},
+		pooled:     &http.Transport{DialContext: dial, MaxIdleConnsPerHost: idlePerEndpoint, IdleConnTimeout: idleTimeout, DisableCompression: true, ReadBufferSize: bufferBytes, WriteBufferSize: bufferBytes},
+		perRequest: &http.Transport{DialContext: dial, DisableKeepAlives: true, DisableCompression: true, ReadBufferSize: bufferBytes, WriteBufferSize: bufferBytes},
 	}
 }
 
@@ -61,14 +61,14 @@
 	absent  bool // the address belongs to another process, or the endpoint does not hold the model
 	// unreachable: no connection could be opened.
 	unreachable bool
-	// refused: the connection was refused, so that the request has not reached the endpoint.
-	refused  bool
-	loading  bool              // the endpoint is still loading the model
-	paused   bool              // the endpoint asked for a pause
-	began    bool              // events of the answer had been forwarded
-	broken   bool              // the connection to the endpoint broke
-	endpoint fleet.Incarnation // the endpoint of the attempt
-	paid     bool              // the retry was already taken out of the budget
+	// connRefused: the connection was refused, so that the request has not reached the endpoint.
+	connRefused     bool
+	loading         bool              // the endpoint is still loading the model
+	paused          bool              // the endpoint asked for a pause
+	eventsForwarded bool              // events of the answer had been forwarded
+	connBroken      bool              // the connection to the endpoint broke
+	endpoint        fleet.Incarnation // the endpoint of the attempt
+	retryPaid       bool              // the retry was already taken out of the budget
 }
 
 // body hides the type of the content, so that the transport can't rewind it and resend a request
@@ -88,44 +88,45 @@
 		}),
 	}
 	sent := clock.Now()
-	transport := s.client.once
+	transport := s.client.perRequest
 	if q.route.Repeatable() {
-		transport = s.client.kept
+		transport = s.client.pooled
 	}
 	resp, err := transport.RoundTrip(req.WithContext(ctx))
 	if err != nil {
 		return nil, classify(ctx, err)
 	}
-	mark := s.opt.Dialect.ReadAnswer(resp.StatusCode, resp.Header)
-	s.noteUnread(q, e, s.opt.Dialect.UnknownHeaders(resp.Header))
-	s.heard(q, e, sent, resp.StatusCode, mark)
-	if f := refusedByEndpoint(resp, mark, q); f != nil {
+	meta := s.opt.Dialect.ReadAnswer(resp.StatusCode, resp.Header)
+	s.noteUnknownHeaders(q, e, s.opt.Dialect.UnknownHeaders(resp.Header))
+	s.observeBackpressure(q, e, sent, resp.StatusCode, meta)
+	if f := refusedByEndpoint(resp, meta, q); f != nil {
 		_, _ = io.CopyN(io.Discard, resp.Body, bufferBytes) // so that the connection can be reused
 		_ = resp.Body.Close()
 		return nil, f
 	}
-	if f := foreign(resp, mark, q); f != nil {
+	if f := mismatchedAnswer(resp, meta, q); f != nil {
 		_ = resp.Body.Close()
 		return nil, f
 	}
 	return resp, nil
 }
 
-// heard passes the backpressure signals of an answer to the throttle. It ignores answers to other
-// requests and those that another process may have sent. A refusal may come from a proxy in front
-// of the endpoint: the signals that it carries count, but the absence of a signal does not.
-func (s *Server) heard(q *request, e *fleet.Endpoint, sent time.Time, status int, mark protocol.AnswerMetadata) {
-	ours := mark.RequestID == q.call.ID
-	own := mark.Sealed && (ours || mark.RequestID == "")
-	refuses := mark.NotRun && (ours || mark.RequestID == "")
-	fails := ours && status >= http.StatusInternalServerError
-	other := mark.EndpointID != "" && mark.EndpointID != e.ID
-	misdirected := mark.WrongEndpoint && mark.EndpointID != e.ID
-	if other || misdirected || !own && !refuses && !fails {
+// observeBackpressure passes the backpressure signals of an answer to the throttle. It ignores
+// answers to other requests and those that another process may have sent. A refusal may come from a
+// proxy in front of the endpoint: the signals that it carries count, but the absence of a signal
+// does not.
+func (s *Server) observeBackpressure(q *request, e *fleet.Endpoint, sent time.Time, status int, meta protocol.AnswerMetadata) {
+	ours := meta.RequestID == q.call.ID
+	authentic := meta.Sealed && (ours || meta.RequestID == "")
+	refused := meta.NotRun && (ours || meta.RequestID == "")
+	failed := ours && status >= http.StatusInternalServerError
+	otherEndpoint := meta.EndpointID != "" && meta.EndpointID != e.ID
+	misdirected := meta.WrongEndpoint && meta.EndpointID != e.ID
+	if otherEndpoint || misdirected || !authentic && !refused && !failed {
 		return
 	}
 	s.opt.Throttle.ObserveAnswer(throttle.Answer{
-		Incarnation: e.Incarnation(), Slots: e.Slots, Request: q.call.ID, Sent: sent, Signals: mark.Backpressure, Authoritative: own && !mark.NotRun,
+		Incarnation: e.Incarnation(), Slots: e.Slots, Request: q.call.ID, Sent: sent, Signals: meta.Backpressure, Authoritative: authentic && !meta.NotRun,
 	})
 }
 
@@ -134,25 +135,25 @@
 func classify(ctx context.Context, err error) *failure {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
-		return &failure{verdict: protocol.NotRun, reason: "endpoint-unreachable", err: err, unreachable: true, refused: quarantiner.IsConnectionRefused(err)}
+		return &failure{verdict: protocol.NotRun, reason: "endpoint-unreachable", err: err, unreachable: true, connRefused: quarantiner.IsConnectionRefused(err)}
 	}
 	if ctx.Err() != nil {
 		return &failure{verdict: protocol.MayHaveRun, reason: "no-answer-in-time", err: ctx.Err()}
 	}
-	return &failure{verdict: protocol.MayHaveRun, reason: "endpoint-failed", err: err, broken: true}
+	return &failure{verdict: protocol.MayHaveRun, reason: "endpoint-failed", err: err, connBroken: true}
 }
 
 // refusedByEndpoint returns the failure of an answer that reports that the request has not run;
 // nil for other answers.
-func refusedByEndpoint(resp *http.Response, mark protocol.AnswerMetadata, q *request) *failure {
-	if !mark.NotRun || mark.RequestID != "" && mark.RequestID != q.call.ID {
+func refusedByEndpoint(resp *http.Response, meta protocol.AnswerMetadata, q *request) *failure {
+	if !meta.NotRun || meta.RequestID != "" && meta.RequestID != q.call.ID {
 		return nil
 	}
 	f := &failure{verdict: protocol.NotRun, reason: "endpoint-refused", err: fmt.Errorf("status %d", resp.StatusCode)}
 	switch {
-	case mark.WrongEndpoint:
+	case meta.WrongEndpoint:
 		f.absent, f.reason = true, "not-held-there"
-	case mark.Backpressure.Pause.For > 0:
+	case meta.Backpressure.Pause.For > 0:
 		f.paused, f.reason = true, "endpoint-paused"
 	case resp.StatusCode == http.StatusServiceUnavailable && q.call.Model != "" && q.waited > 0:
 		f.loading = true
@@ -160,14 +161,14 @@
 	return f
 }
 
-// foreign returns the failure of an answer to another request, or of a success that the endpoint
-// did not mark as its own; nil for other answers. Such an answer came in place of the endpoint's,
-// so the request may have run.
-func foreign(resp *http.Response, mark protocol.AnswerMetadata, q *request) *failure {
+// mismatchedAnswer returns the failure of an answer to another request, or of a success that the
+// endpoint did not mark as its own; nil for other answers. Such an answer came in place of the
+// endpoint's, so the request may have run.
+func mismatchedAnswer(resp *http.Response, meta protocol.AnswerMetadata, q *request) *failure {
 	switch {
-	case mark.RequestID != q.call.ID:
-		return &failure{verdict: protocol.MayHaveRun, reason: "crossed-answer", err: fmt.Errorf("answer to %q", mark.RequestID)}
-	case resp.StatusCode < http.StatusMultipleChoices && !mark.Sealed:
+	case meta.RequestID != q.call.ID:
+		return &failure{verdict: protocol.MayHaveRun, reason: "crossed-answer", err: fmt.Errorf("answer to %q", meta.RequestID)}
+	case resp.StatusCode < http.StatusMultipleChoices && !meta.Sealed:
 		return &failure{verdict: protocol.MayHaveRun, reason: "unsealed-answer"}
 	}
 	return nil
@@ -179,31 +180,31 @@
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	s.opt.Balancer.Started(e)
-	began := time.Now()
+	startedAt := time.Now()
 	s.countRunning(q, e.Incarnation(), 1)
 	defer s.countRunning(q, e.Incarnation(), -1)
 	ok := false
-	defer func() { s.opt.Balancer.Ended(clock.Now(), e, q.unit(), time.Since(began), ok) }()
+	defer func() { s.opt.Balancer.Ended(clock.Now(), e, q.unit(), time.Since(startedAt), ok) }()
 	w := s.watch(q, e, more, cancel)
 	defer w.stop()
-	a.sent, a.viewAge = time.Now(), s.opt.ViewAge()
-	heard := a.last
-	resp, f := s.send(ctx, q, e, a.lastID)
+	a.sentAt, a.viewAge = time.Now(), s.opt.ViewAge()
+	lastEventBefore := a.lastEventAt
+	resp, f := s.send(ctx, q, e, a.lastEventID)
 	if f == nil {
 		a.endpoint = e.Incarnation()
 		f = s.deliver(q, a, resp, w, more)
 		_ = resp.Body.Close()
 	}
 	if f != nil {
-		f.began = a.last != heard
-		f.broken = f.broken && ctx.Err() == nil // otherwise this daemon closed the connection
+		f.eventsForwarded = a.lastEventAt != lastEventBefore
+		f.connBroken = f.connBroken && ctx.Err() == nil // otherwise this daemon closed the connection
 	}
-	if f != nil && w.gaveUp() {
-		f.paid = true
-		s.client.kept.CloseIdleConnections() // they may be as unresponsive as the attempt's own
+	if f != nil && w.abandoned() {
+		f.retryPaid = true
+		s.client.pooled.CloseIdleConnections() // they may be as unresponsive as the attempt's own
 	}
-	if f != nil && f.verdict != protocol.NotRun && a.first.IsZero() {
-		s.countFirst(q, e.Incarnation(), time.Since(a.sent))
+	if f != nil && f.verdict != protocol.NotRun && a.firstEventAt.IsZero() {
+		s.countFirstEvent(q, e.Incarnation(), time.Since(a.sentAt))
 	}
 	ok = f == nil
 	return f
@@ -212,9 +213,9 @@
 // deliver forwards an answer whose header has been received.
 func (s *Server) deliver(q *request, a *answer, resp *http.Response, w *silenceWatch, more bool) *failure {
 	if q.route.Kind == routing.Streaming && resp.StatusCode == http.StatusOK {
-		return a.stream(resp, w)
+		return a.forwardStream(resp, w)
 	}
-	return a.whole(resp, w, more && q.route.Repeatable())
+	return a.forwardWhole(resp, w, more && q.route.Repeatable())
 }
 
 // hasOther reports whether an endpoint other than id can serve a request now. Endpoints that have
--- a/transport/edge/demand.go
+++ b/transport/edge/demand.go
@@ -22,18 +22,18 @@
 	return out
 }
 
-// slowPart is the share of the latency objective after which a first event counts as slow. It is
+// slowShare is the share of the latency objective after which a first event counts as slow. It is
 // below 1, so that another replica of the model is requested before its answers miss the objective.
-const slowPart = 0.8
+const slowShare = 0.8
 
-// countFirst counts the first event of a request at an endpoint, after the given time. A failed
+// countFirstEvent counts the first event of a request at an endpoint, after the given time. A failed
 // attempt without an event counts, too, with the time until it failed.
-func (s *Server) countFirst(q *request, endpoint fleet.Incarnation, after time.Duration) {
-	slow := float64(after) > slowPart*float64(q.route.LatencyTarget)
-	s.countDemand(q, func(d residency.Demand) {
+func (s *Server) countFirstEvent(q *request, endpoint fleet.Incarnation, after time.Duration) {
+	slow := float64(after) > slowShare*float64(q.route.LatencyTarget)
+	s.updateDemand(q, func(d residency.Demand) {
 		place := residency.Place{Endpoint: endpoint, Model: q.call.Model}
-		f, known := d.FirstEvents[place]
-		if !known || q.rank < f.Rank {
+		f, ok := d.FirstEvents[place]
+		if !ok || q.rank < f.Rank {
 			f.Rank = q.rank
 		}
 		f.Count++
@@ -46,20 +46,20 @@
 
 // countActive adds n to the number of requests of a model that run or wait.
 func (s *Server) countActive(q *request, n int) {
-	s.countDemand(q, func(d residency.Demand) { add(d.Active, q.call.Model, n) })
+	s.updateDemand(q, func(d residency.Demand) { add(d.Active, q.call.Model, n) })
 }
 
 // countRunning adds n to the number of requests of a model that run at an endpoint.
 func (s *Server) countRunning(q *request, endpoint fleet.Incarnation, n int) {
-	s.countDemand(q, func(d residency.Demand) {
+	s.updateDemand(q, func(d residency.Demand) {
 		place := residency.Place{Endpoint: endpoint, Model: q.call.Model}
 		before := d.Running[place]
 		add(d.Running, place, n)
 		switch {
-		case before+n == 0 && q.named:
-			wake.Once(s.freed)
+		case before+n == 0 && q.assigned:
+			wake.Once(s.placeFreed)
 		case before == 0 || before+n == 0:
-			wake.Once(s.turned)
+			wake.Once(s.demandChanged)
 		}
 		if q.call.Adapter != "" {
 			add(d.Running, residency.Place{Endpoint: endpoint, Model: q.unit()}, n)
@@ -69,15 +69,15 @@
 
 // DemandChanged returns a channel that receives when a model has got its first running request at
 // an endpoint, or has none left there.
-func (s *Server) DemandChanged() <-chan struct{} { return s.turned }
+func (s *Server) DemandChanged() <-chan struct{} { return s.demandChanged }
 
 // PlaceFreed returns a channel that receives when a model has no running requests left at an
 // endpoint that the coordinator had assigned to a request: it may load another model there at once.
-func (s *Server) PlaceFreed() <-chan struct{} { return s.freed }
+func (s *Server) PlaceFreed() <-chan struct{} { return s.placeFreed }
 
-// countDemand applies a change to the demand for the request's service. It ignores requests without
+// updateDemand applies a change to the demand for the request's service. It ignores requests without
 // a model.
-func (s *Server) countDemand(q *request, change func(residency.Demand)) {
+func (s *Server) updateDemand(q *request, change func(residency.Demand)) {
 	if q.call.Model == "" {
 		return
 	}
--- a/transport/edge/demand_test.go
+++ b/transport/edge/demand_test.go
@@ -12,7 +12,7 @@
 	"github.com/doorvalve/doorvalve/state/routing"
 )
 
-func turned(s *Server) bool {
+func demandChanged(s *Server) bool {
 	select {
 	case <-s.DemandChanged():
 		return true
@@ -37,17 +37,17 @@
 		want bool
 	}{{1, true}, {1, false}, {-1, false}, {-1, true}} {
 		s.countRunning(q, fleet.Incarnation{ID: "e"}, step.n)
-		if got := turned(s); got != step.want {
+		if got := demandChanged(s); got != step.want {
 			t.Errorf("step %d: change signalled %v", i, got)
 		}
 	}
 }
 
 // First events are part of one report only, or the coordinator would count them twice.
-func TestFirstEventsAreToldOnce(t *testing.T) {
+func TestFirstEventsReportedOnce(t *testing.T) {
 	s, q := New(Options{Metrics: tally.NoopScope}), testRequest()
-	s.countFirst(q, fleet.Incarnation{ID: "e"}, 100*time.Millisecond)
-	s.countFirst(q, fleet.Incarnation{ID: "e"}, 900*time.Millisecond)
+	s.countFirstEvent(q, fleet.Incarnation{ID: "e"}, 100*time.Millisecond)
+	s.countFirstEvent(q, fleet.Incarnation{ID: "e"}, 900*time.Millisecond)
 	place := residency.Place{Endpoint: fleet.Incarnation{ID: "e"}, Model: "m"}
 	if got, want := s.Demand()["llm"].FirstEvents[place], (residency.FirstEvents{Count: 2, Slow: 1, Rank: 1}); got != want {
 		t.Fatalf("got %+v, want %+v", got, want)
--- a/transport/edge/retry.go
+++ b/transport/edge/retry.go
@@ -18,27 +18,27 @@
 	maxSends = 5
 	// refusedPause is the pause before the endpoints are tried again that have all refused to
 	// continue a begun answer. It is some steps of an engine's batch, and doubles up to
-	// refusedMost, a fifth of the shortest time that callers wait.
-	refusedPause = 100 * time.Millisecond
-	refusedMost  = 400 * time.Millisecond
+	// maxRefusedPause, a fifth of the shortest time that callers wait.
+	refusedPause    = 100 * time.Millisecond
+	maxRefusedPause = 400 * time.Millisecond
 	// budgetPause is the interval of checking an empty retry budget, to which each request of this
 	// daemon adds a fraction of a retry.
 	budgetPause = 100 * time.Millisecond
 )
 
-// payRetry reports whether the request may have a further attempt, and takes it out of the retry
-// budget. begun reports whether the caller has a part of the answer: then payRetry waits for an
+// takeRetry reports whether the request may have a further attempt, and takes it out of the retry
+// budget. begun reports whether the caller has a part of the answer: then takeRetry waits for an
 // endpoint and for the budget as long as the caller waits, because the answer would break off
 // otherwise. Other requests fail at once, and their callers can retry themselves.
-func (s *Server) payRetry(ctx context.Context, q *request, t *tries, begun bool) bool {
+func (s *Server) takeRetry(ctx context.Context, q *request, t *attemptState, begun bool) bool {
 	if !begun && t.sends >= maxSends {
 		return false
 	}
-	if begun && !s.awaitPlace(ctx, q, t) {
+	if begun && !s.awaitEndpoint(ctx, q, t) {
 		return false
 	}
 	// A request whose connection was refused has reached no endpoint: its next attempt is no retry.
-	paid := t.last.paid || t.last.refused || s.opt.Budget.Spend()
+	paid := t.last.retryPaid || t.last.connRefused || s.opt.Budget.Spend()
 	if !paid && begun {
 		paid = s.awaitBudget(ctx, q, t)
 	}
@@ -48,15 +48,15 @@
 	return paid
 }
 
-// awaitPlace pauses if all endpoints that could continue an answer have refused it. It reports
+// awaitEndpoint pauses if all endpoints that could continue an answer have refused it. It reports
 // whether the caller still waits after the pause.
-func (s *Server) awaitPlace(ctx context.Context, q *request, t *tries) bool {
+func (s *Server) awaitEndpoint(ctx context.Context, q *request, t *attemptState) bool {
 	if t.last.verdict != protocol.NotRun || s.hasUntried(q, t) {
 		return true
 	}
-	d := min(refusedPause<<t.pauses, refusedMost)
+	d := min(refusedPause<<t.pauses, maxRefusedPause)
 	t.pauses++
-	if !t.outlasts(q, d) {
+	if !t.callerWaits(q, d) {
 		return false
 	}
 	pause.For(ctx, d)
@@ -65,8 +65,8 @@
 
 // awaitBudget waits until other requests have earned a retry and takes it out of the budget. It
 // reports false if the caller does not wait that long.
-func (s *Server) awaitBudget(ctx context.Context, q *request, t *tries) bool {
-	for ctx.Err() == nil && t.outlasts(q, budgetPause) {
+func (s *Server) awaitBudget(ctx context.Context, q *request, t *attemptState) bool {
+	for ctx.Err() == nil && t.callerWaits(q, budgetPause) {
 		pause.For(ctx, budgetPause)
 		if s.opt.Budget.Spend() {
 			return true
@@ -76,29 +76,29 @@
 }
 
 // hasUntried reports whether an endpoint that can serve the request has not failed it yet.
-func (s *Server) hasUntried(q *request, t *tries) bool {
+func (s *Server) hasUntried(q *request, t *attemptState) bool {
 	return s.untriedAmong(q, t, s.candidates(q))
 }
 
 // untriedAmong is hasUntried for the given candidates.
-func (s *Server) untriedAmong(q *request, t *tries, candidates []*fleet.Endpoint) bool {
+func (s *Server) untriedAmong(q *request, t *attemptState, candidates []*fleet.Endpoint) bool {
 	return slices.ContainsFunc(candidates, func(e *fleet.Endpoint) bool {
-		return s.takes(q, t, e) && !slices.ContainsFunc(t.exclude, e.Incarnation().Matches)
+		return s.accepts(q, t, e) && !slices.ContainsFunc(t.exclude, e.Incarnation().Matches)
 	})
 }
 
-// outlasts reports whether the caller is likely to wait for an answer that continues after d.
-func (t *tries) outlasts(q *request, d time.Duration) bool {
+// callerWaits reports whether the caller is likely to wait for an answer that continues after d.
+func (t *attemptState) callerWaits(q *request, d time.Duration) bool {
 	return waiting.Decide(waiting.Input{
-		ReadyIn: d, Elapsed: t.silentFor(q), TimeLeft: q.timeLeft(), MaxWait: q.route.MaxWait, Started: true,
+		ReadyIn: d, Elapsed: t.callerSilence(q), TimeLeft: q.timeLeft(), MaxWait: q.route.MaxWait, Started: true,
 	}).Wait
 }
 
-// silentFor returns the time since the caller got an event, or since the request's arrival if it has
-// got none.
-func (t *tries) silentFor(q *request) time.Duration {
-	if t.heard.IsZero() {
+// callerSilence returns the time since the caller got an event, or since the request's arrival if
+// it has got none.
+func (t *attemptState) callerSilence(q *request) time.Duration {
+	if t.lastEventAt.IsZero() {
 		return time.Since(q.arrived)
 	}
-	return time.Since(t.heard)
+	return time.Since(t.lastEventAt)
 }
--- a/transport/edge/run.go
+++ b/transport/edge/run.go
@@ -20,27 +20,27 @@
 // loadingPause is the pause before a retry at an endpoint that is still loading the model.
 const loadingPause = 100 * time.Millisecond
 
-// tries is the state of a request's attempts so far.
-type tries struct {
-	sends   int                 // attempts started
-	ran     int                 // endpoints at which the request may have run
-	verdict protocol.Verdict    // the worst of all attempts
-	exclude []fleet.Incarnation // endpoints that have failed the request
-	pauses  int                 // pauses made because all endpoints had refused the request
-	last    *failure
-	heard   time.Time // when the last event was forwarded; zero before the first
-	// estimated is when the model was to be ready, by the estimate made as the present wait began;
-	// source is the source of that estimate. estimated is zero outside a wait.
-	estimated time.Time
-	source    waiting.Source
-	// place is the request's entry in the queue of the endpoint that it waits for; nil if it waits
-	// for none. waitsUntil is the latest time at which the last such wait was to end.
-	place      *backpressure.Waiter
-	waitsUntil time.Time
+// attemptState is the state of a request's attempts so far.
+type attemptState struct {
+	sends       int                 // attempts started
+	ran         int                 // endpoints at which the request may have run
+	verdict     protocol.Verdict    // the worst of all attempts
+	exclude     []fleet.Incarnation // endpoints that have failed the request
+	pauses      int                 // pauses made because all endpoints had refused the request
+	last        *failure
+	lastEventAt time.Time // when the last event was forwarded; zero before the first
+	// estimatedReady is when the model was to be ready, by the estimate made as the present wait
+	// began; source is the source of that estimate. estimatedReady is zero outside a wait.
+	estimatedReady time.Time
+	source         waiting.Source
+	// waiter is the request's entry in the queue of the endpoint that it waits for; nil if it waits
+	// for none. waitDeadline is the latest time at which the last such wait was to end.
+	waiter       *backpressure.Waiter
+	waitDeadline time.Time
 }
 
-// note records a failed attempt.
-func (t *tries) note(f *failure, endpoint fleet.Incarnation) {
+// record records a failed attempt.
+func (t *attemptState) record(f *failure, endpoint fleet.Incarnation) {
 	f.endpoint = endpoint
 	t.last = f
 	t.verdict = max(t.verdict, f.verdict)
@@ -49,81 +49,81 @@
 	}
 }
 
-// again reports whether the request may go to another endpoint: it has not run, or it may be
+// mayRetry reports whether the request may go to another endpoint: it has not run, or it may be
 // repeated and has attempts left. A begun stream can continue only after an event with an id.
-func (t *tries) again(q *request, a *answer) bool {
+func (t *attemptState) mayRetry(q *request, a *answer) bool {
 	if t.verdict == protocol.NotRun {
 		return true
 	}
-	resumable := !a.begun || a.lastID != ""
+	resumable := !a.headerSent || a.lastEventID != ""
 	return q.route.Repeatable() && t.ran < q.route.MaxAttempts && resumable
 }
 
 // run tries endpoints until one has answered. It returns nil if the caller has got the answer.
 func (s *Server) run(ctx context.Context, q *request, a *answer) *protocol.Refusal {
 	s.opt.Budget.Earn()
-	t := &tries{}
-	defer func() { s.quitLine(t, false) }()
+	t := &attemptState{}
+	defer func() { s.leaveQueue(t, false) }()
 	for ; ; t.sends++ {
 		if ctx.Err() != nil || q.timeLeft() <= 0 {
 			return s.outOfTime(t.verdict)
 		}
-		if t.sends > 0 && !s.payRetry(ctx, q, t, a.begun) {
-			return s.giveUp(q, t)
+		if t.sends > 0 && !s.takeRetry(ctx, q, t, a.headerSent) {
+			return s.finalRefusal(q, t)
 		}
-		e, refusal := s.place(ctx, q, t)
+		e, refusal := s.selectEndpoint(ctx, q, t)
 		switch {
 		case refusal != nil && t.verdict != protocol.NotRun:
 			s.opt.Log.Info(decisions.EventNotResumed, "request", q.call.ID, "reason", refusal.Reason, "detail", refusal.Detail, "ms", time.Since(q.arrived).Milliseconds())
-			return s.giveUp(q, t)
+			return s.finalRefusal(q, t)
 		case refusal != nil:
 			return refusal
 		}
-		if a.begun {
+		if a.headerSent {
 			s.metrics.resumed.Inc(1)
 		}
 		f := s.attempt(ctx, q, e, a, t.ran+1 < q.route.MaxAttempts)
 		if f == nil {
-			s.opt.Quarantine.ObserveSuccess(q.fingerprint, clock.Now().Add(-time.Since(a.sent)))
+			s.opt.Quarantine.ObserveSuccess(q.fingerprint, clock.Now().Add(-time.Since(a.sentAt)))
 			return nil
 		}
-		s.tellQuarantine(ctx, q, e, a, f)
-		t.note(f, e.Incarnation())
-		t.heard = a.last
-		if s.learn(ctx, q, e, f) {
+		s.reportToQuarantine(ctx, q, e, a, f)
+		t.record(f, e.Incarnation())
+		t.lastEventAt = a.lastEventAt
+		if s.handleFailure(ctx, q, e, f) {
 			t.exclude = append(t.exclude, e.Incarnation())
 		}
-		again := t.again(q, a)
+		mayRetry := t.mayRetry(q, a)
 		s.opt.Log.Info(decisions.EventAttemptFailed, "request", q.call.ID, "endpoint", e.ID, "endpoint_revision", e.Version, "reason", f.reason, "error", f.err,
-			"verdict", f.verdict.String(), "again", again, "fingerprint", q.fingerprint().String(), "began", f.began, "sent_ms", a.sent.Sub(q.arrived).Milliseconds(), "endpoints_age_ms", a.viewAge.Milliseconds(), "ms", time.Since(q.arrived).Milliseconds())
-		if !again && ctx.Err() == nil {
-			return s.giveUp(q, t)
+			"verdict", f.verdict.String(), "again", mayRetry, "fingerprint", q.fingerprint().String(), "began", f.eventsForwarded, "sent_ms", a.sentAt.Sub(q.arrived).Milliseconds(), "endpoints_age_ms", a.viewAge.Milliseconds(), "ms", time.Since(q.arrived).Milliseconds())
+		if !mayRetry && ctx.Err() == nil {
+			return s.finalRefusal(q, t)
 		}
-		if !again {
+		if !mayRetry {
 			return s.outOfTime(t.verdict)
 		}
 	}
 }
 
-// placesTried bounds the endpoints chosen for one attempt that then turn out to take no requests.
+// maxSelections bounds the endpoints chosen for one attempt that then turn out to take no requests.
 // All requests skip such an endpoint for a while, so that few requests have to choose again.
-const placesTried = 8
+const maxSelections = 8
 
-// place chooses the endpoint for the next attempt and admits the request there. A quarantined
-// request is refused before it waits for a model, and checked again just before it is sent: other
-// daemons may have quarantined it during the wait.
-func (s *Server) place(ctx context.Context, q *request, t *tries) (*fleet.Endpoint, *protocol.Refusal) {
-	on := func() quarantine.Software { return s.software(q) }
-	if refusal := s.opt.Quarantine.CheckHeld(q.fingerprint, on); refusal != nil {
+// selectEndpoint chooses the endpoint for the next attempt and admits the request there. A
+// quarantined request is refused before it waits for a model, and checked again just before it is
+// sent: other daemons may have quarantined it during the wait.
+func (s *Server) selectEndpoint(ctx context.Context, q *request, t *attemptState) (*fleet.Endpoint, *protocol.Refusal) {
+	software := func() quarantine.Software { return s.software(q) }
+	if refusal := s.opt.Quarantine.CheckHeld(q.fingerprint, software); refusal != nil {
 		return nil, refusal
 	}
-	for range placesTried {
+	for range maxSelections {
 		e, refusal := s.locate(ctx, q, t)
 		s.observeWait(t, refusal == nil)
 		if refusal != nil {
 			return nil, refusal
 		}
-		admitted, refusal := s.admit(ctx, q, t, e, on)
+		admitted, refusal := s.admit(ctx, q, t, e, software)
 		if refusal != nil {
 			return nil, refusal
 		}
@@ -131,54 +131,54 @@
 			return e, nil
 		}
 	}
-	return nil, s.refuseShut(q, t, s.shut(q, t, s.candidates(q)))
+	return nil, s.refuseUnavailable(q, t, s.unavailable(q, t, s.candidates(q)))
 }
 
 // admit is the last check before a request is sent to an endpoint, however the endpoint was chosen.
-// It sets q.trial and q.pass to what the request takes. It returns false without a refusal if the
-// endpoint takes no requests now.
-func (s *Server) admit(ctx context.Context, q *request, t *tries, e *fleet.Endpoint, on func() quarantine.Software) (admitted bool, refusal *protocol.Refusal) {
+// It sets q.probe and q.limitTicket to what the request takes. It returns false without a refusal
+// if the endpoint takes no requests now.
+func (s *Server) admit(ctx context.Context, q *request, t *attemptState, e *fleet.Endpoint, software func() quarantine.Software) (admitted bool, refusal *protocol.Refusal) {
 	// A daemon that has just started waits here for the state of its peers. Requests without a
 	// suitable endpoint were refused before that.
 	s.opt.Quarantine.WaitSynced(ctx)
 	s.opt.Throttle.WaitSynced(ctx)
-	if q.trial, refusal = s.opt.Quarantine.Admit(ctx, q.fingerprint, on); refusal != nil {
+	if q.probe, refusal = s.opt.Quarantine.Admit(ctx, q.fingerprint, software); refusal != nil {
 		return false, refusal
 	}
-	pass, d := s.opt.Throttle.Admit(ctx, e.Incarnation(), t.ask(q))
+	ticket, d := s.opt.Throttle.Admit(ctx, e.Incarnation(), t.queueRequest(q))
 	if d.Closed() {
-		s.opt.Quarantine.ReturnProbe(q.trial)
+		s.opt.Quarantine.ReturnProbe(q.probe)
 		return false, nil
 	}
-	if refusal = s.stillGood(q); refusal == nil && q.timeLeft() <= 0 { // as when the host was suspended during the wait
+	if refusal = s.recheckKey(q); refusal == nil && q.timeLeft() <= 0 { // as when the host was suspended during the wait
 		refusal = s.outOfTime(t.verdict)
 	}
 	if refusal != nil {
-		s.opt.Throttle.Refund(pass)
-		s.opt.Quarantine.ReturnProbe(q.trial)
+		s.opt.Throttle.Refund(ticket)
+		s.opt.Quarantine.ReturnProbe(q.probe)
 		return false, refusal
 	}
-	q.pass = pass
-	s.quitLine(t, true)
+	q.limitTicket = ticket
+	s.leaveQueue(t, true)
 	return true, nil
 }
 
-// tellQuarantine reports a failed attempt to the quarantine, which tracks failures that may be
-// crashes of the endpoint. It returns the probe and the endpoint's quota of a request that has not
-// reached the endpoint.
-func (s *Server) tellQuarantine(ctx context.Context, q *request, e *fleet.Endpoint, a *answer, f *failure) {
+// reportToQuarantine reports a failed attempt to the quarantine, which tracks failures that may be
+// crashes of the endpoint. It returns the probe if the request has not run, and refunds the rate
+// limit if the request has not reached the endpoint.
+func (s *Server) reportToQuarantine(ctx context.Context, q *request, e *fleet.Endpoint, a *answer, f *failure) {
 	if f.verdict == protocol.NotRun {
-		s.opt.Quarantine.ReturnProbe(q.trial)
+		s.opt.Quarantine.ReturnProbe(q.probe)
 	}
 	if f.unreachable {
-		s.opt.Throttle.Refund(q.pass)
+		s.opt.Throttle.Refund(q.limitTicket)
 	}
 	switch {
 	case f.unreachable:
 		s.opt.Quarantine.ObserveDialError(e.Incarnation(), f.err)
-	case f.broken:
+	case f.connBroken:
 		s.opt.Quarantine.ObserveBroken(ctx, quarantiner.BrokenAttempt{
-			Request: q.call.ID, Fingerprint: q.fingerprint(), Incarnation: e.Incarnation(), Address: e.Address, Sent: clock.Now().Add(-time.Since(a.sent)), AnswerBegan: f.began, Software: s.software(q),
+			Request: q.call.ID, Fingerprint: q.fingerprint(), Incarnation: e.Incarnation(), Address: e.Address, Sent: clock.Now().Add(-time.Since(a.sentAt)), AnswerBegan: f.eventsForwarded, Software: s.software(q),
 		})
 	}
 }
@@ -210,11 +210,11 @@
 	return protocol.RefuseMayHaveRun(http.StatusGatewayTimeout, "out-of-time", "the request's time is over")
 }
 
-// giveUp turns the last failure into the final refusal.
-func (s *Server) giveUp(q *request, t *tries) *protocol.Refusal {
+// finalRefusal turns the last failure into the final refusal.
+func (s *Server) finalRefusal(q *request, t *attemptState) *protocol.Refusal {
 	if t.verdict == protocol.NotRun {
-		if shut := s.shut(q, t, s.candidates(q)); t.last.paused && shut.all {
-			return s.refuseShut(q, t, shut)
+		if unavailable := s.unavailable(q, t, s.candidates(q)); t.last.paused && unavailable.all {
+			return s.refuseUnavailable(q, t, unavailable)
 		}
 		return protocol.Refuse(http.StatusServiceUnavailable, t.last.reason, "no endpoint took the request", retryBusy)
 	}
@@ -225,16 +225,16 @@
 
 // absentAt returns the endpoint of the last attempt if it reported that it does not hold the model;
 // otherwise the zero value.
-func (t *tries) absentAt() fleet.Incarnation {
+func (t *attemptState) absentAt() fleet.Incarnation {
 	if t.last == nil || !t.last.absent {
 		return fleet.Incarnation{}
 	}
 	return t.last.endpoint
 }
 
-// learn updates the balancer after a failure, and reports whether the request should exclude the
-// endpoint.
-func (s *Server) learn(ctx context.Context, q *request, e *fleet.Endpoint, f *failure) (exclude bool) {
+// handleFailure updates the balancer after a failure, and reports whether the request should
+// exclude the endpoint.
+func (s *Server) handleFailure(ctx context.Context, q *request, e *fleet.Endpoint, f *failure) (exclude bool) {
 	now := clock.Now()
 	switch {
 	case ctx.Err() != nil:
@@ -248,7 +248,7 @@
 	case f.paused:
 		return false // the endpoint's own backpressure signal keeps all requests away
 	}
-	if f.refused {
+	if f.connRefused {
 		s.opt.Balancer.MarkUnreachable(now, e.Incarnation())
 	}
 	d := s.opt.Balancer.Failed(now, e.Incarnation())
--- a/transport/edge/server.go
+++ b/transport/edge/server.go
@@ -81,27 +81,27 @@
 	active  atomic.Int64
 	metrics metrics
 
-	mu      sync.Mutex
-	demand  map[string]residency.Demand // by service
-	turned  chan struct{}               // see DemandChanged
-	freed   chan struct{}               // see PlaceFreed
-	margins *waiting.Margins
-	unread  decisions.Once // names of unknown headers that have been logged
+	mu             sync.Mutex
+	demand         map[string]residency.Demand // by service
+	demandChanged  chan struct{}               // see DemandChanged
+	placeFreed     chan struct{}               // see PlaceFreed
+	margins        *waiting.Margins
+	unknownHeaders decisions.Once // names of unknown headers that have been logged
 }
 
 type metrics struct {
-	answered, refused, failed, retried, resumed, gone, unread tally.Counter
-	duration, firstEvent, waited, waitError                   tally.Histogram
+	answered, refused, failed, retried, resumed, disconnected, unknownHeaders tally.Counter
+	duration, firstEvent, waited, waitError                                   tally.Histogram
 }
 
 // New returns a server.
 func New(opt Options) *Server {
 	m := opt.Metrics.SubScope("caller")
 	buckets := tally.MustMakeExponentialDurationBuckets(5*time.Millisecond, 2, 14)
-	return &Server{opt: opt, client: newClient(), demand: map[string]residency.Demand{}, turned: make(chan struct{}, 1), freed: make(chan struct{}, 1), margins: waiting.NewMargins(), metrics: metrics{
+	return &Server{opt: opt, client: newClient(), demand: map[string]residency.Demand{}, demandChanged: make(chan struct{}, 1), placeFreed: make(chan struct{}, 1), margins: waiting.NewMargins(), metrics: metrics{
 		answered: m.Counter("requests_answered_total"), refused: m.Counter("requests_refused_total"),
 		failed: m.Counter("requests_failed_total"), retried: m.Counter("attempts_retried_total"),
-		resumed: m.Counter("streams_resumed_total"), gone: m.Counter("callers_gone_total"), unread: m.Counter("answer_headers_unknown_total"),
+		resumed: m.Counter("streams_resumed_total"), disconnected: m.Counter("callers_gone_total"), unknownHeaders: m.Counter("answer_headers_unknown_total"),
 		duration: m.Histogram("request_duration_seconds", buckets), firstEvent: m.Histogram("first_event_seconds", buckets),
 		waited: m.Histogram("model_wait_seconds", buckets), waitError: m.Histogram("model_wait_beyond_estimate_seconds", buckets),
 	}}
@@ -124,35 +124,35 @@
 
 // request is the state of a caller's request.
 type request struct {
-	call     protocol.Call
-	route    *routing.Route
-	service  *routing.Service
-	method   string
-	uri      string // path and query as the caller sent them
-	path     string // escaped
-	host     string
-	header   http.Header
-	body     []byte
-	print    *protocol.Fingerprint // computed on first use; nil before
-	trial    quarantiner.Probe     // the probe that this attempt is; zero for none
-	table    *routing.Table        // the desired state in force on arrival
-	stateAge time.Duration         // bound on the age of table on arrival
-	who      *workspace.Workspace  // the workspace charged for the request; nil for none
-	ticket   quotas.Ticket         // what the request took of its workspace's quota
-	pass     quotas.Ticket         // what this attempt took of its endpoint's rate limit
-	rank     int                   // priority; 0 is served first
-	active   int64                 // requests in progress on arrival, including this one
-	arrived  time.Time
-	deadline time.Time
-	asleep   time.Duration // total time of the host's suspension on arrival
-	waited   time.Duration // since arrival, as of the end of the last wait for the model; zero if none
-	named    bool          // the coordinator assigned the endpoint
+	call            protocol.Call
+	route           *routing.Route
+	service         *routing.Service
+	method          string
+	uri             string // path and query as the caller sent them
+	path            string // escaped
+	host            string
+	header          http.Header
+	body            []byte
+	print           *protocol.Fingerprint // computed on first use; nil before
+	probe           quarantiner.Probe     // the probe that this attempt is; zero for none
+	table           *routing.Table        // the desired state in force on arrival
+	stateAge        time.Duration         // bound on the age of table on arrival
+	owner           *workspace.Workspace  // the workspace charged for the request; nil for none
+	ticket          quotas.Ticket         // what the request took of its workspace's quota
+	limitTicket     quotas.Ticket         // what this attempt took of its endpoint's rate limit
+	rank            int                   // priority; 0 is served first
+	active          int64                 // requests in progress on arrival, including this one
+	arrived         time.Time
+	deadline        time.Time
+	suspendedBefore time.Duration // total time of the host's suspension on arrival
+	waited          time.Duration // since arrival, as of the end of the last wait for the model; zero if none
+	assigned        bool          // the coordinator assigned the endpoint
 }
 
 // timeLeft returns how much longer the caller waits. It subtracts the time for which the host was
 // suspended since arrival: Go's monotonic clock stands still meanwhile, but callers keep waiting.
 func (q *request) timeLeft() time.Duration {
-	return time.Until(q.deadline) - (clock.Suspended() - q.asleep)
+	return time.Until(q.deadline) - (clock.Suspended() - q.suspendedBefore)
 }
 
 // fingerprint returns the same value when the caller sends the request again.
@@ -167,10 +167,10 @@
 
 // workspace returns the name of the workspace charged for the request; empty if there is none.
 func (q *request) workspace() string {
-	if q.who == nil {
+	if q.owner == nil {
 		return ""
 	}
-	return q.who.Name
+	return q.owner.Name
 }
 
 // version returns the version of the desired state in force when the request arrived; zero for none.
@@ -181,8 +181,8 @@
 	return q.table.Version
 }
 
-// unit returns MODEL/ADAPTER, or MODEL for a request without an adapter; empty for a request without a
-// model.
+// unit returns MODEL/ADAPTER, or MODEL for a request without an adapter; empty for a request
+// without a model.
 func (q *request) unit() string {
 	if q.call.Adapter != "" {
 		return q.call.Model + "/" + q.call.Adapter
@@ -197,9 +197,9 @@
 	retryDraining = 100 * time.Millisecond
 )
 
-// lastStream is the time that a draining daemon must have left to begin a stream. Most streams end
-// within it.
-const lastStream = 5 * time.Second
+// drainStreamReserve is the time that a draining daemon must have left to begin a stream. Most
+// streams end within it.
+const drainStreamReserve = 5 * time.Second
 
 // defaultTimeLeft is the time limit of a request if neither the caller nor the route sets one.
 const defaultTimeLeft = 30 * time.Second
@@ -212,9 +212,9 @@
 	if s.opt.Draining() {
 		w.Header().Set("Connection", "close")
 	}
-	q, refusal := s.arrive(w, r, arrived, active)
+	q, refusal := s.receive(w, r, arrived, active)
 	if refusal != nil {
-		s.refuse(w, r, q, refusal, "")
+		s.writeRefusal(w, r, q, refusal, "")
 		return
 	}
 	s.countActive(q, 1)
@@ -229,27 +229,27 @@
 	case refusal == nil:
 		s.metrics.answered.Inc(1)
 		s.opt.Log.InfoSampled(decisions.EventAnswered, "request", q.call.ID, "route", q.route.Name, "model", q.unit(), "status", a.status,
-			"ms", time.Since(arrived).Milliseconds(), "first_event_ms", a.firstAfter().Milliseconds(), "longest_gap_ms", a.gap.Milliseconds(), "waited_ms", q.waited.Milliseconds(), "sent_ms", a.sent.Sub(arrived).Milliseconds(), "endpoints_age_ms", a.viewAge.Milliseconds(), "endpoint", a.endpoint.ID, "version", q.version(), "workspace", q.workspace())
+			"ms", time.Since(arrived).Milliseconds(), "first_event_ms", a.timeToFirstEvent().Milliseconds(), "longest_gap_ms", a.longestGap.Milliseconds(), "waited_ms", q.waited.Milliseconds(), "sent_ms", a.sentAt.Sub(arrived).Milliseconds(), "endpoints_age_ms", a.viewAge.Milliseconds(), "endpoint", a.endpoint.ID, "version", q.version(), "workspace", q.workspace())
 	case r.Context().Err() != nil:
-		s.metrics.gone.Inc(1)
+		s.metrics.disconnected.Inc(1)
 		s.opt.Log.Info(decisions.EventFailed, "request", q.call.ID, "route", q.route.Name, "model", q.unit(), "reason", "caller gone", "ms", time.Since(arrived).Milliseconds(), "endpoint", a.endpoint.ID)
 		panic(http.ErrAbortHandler)
-	case a.begun:
+	case a.headerSent:
 		// The caller has a part of the answer: only aborting the connection shows it the failure.
 		s.metrics.failed.Inc(1)
-		s.logEnd(decisions.EventFailed, q, refusal, a.endpoint.ID)
+		s.logRefusal(decisions.EventFailed, q, refusal, a.endpoint.ID)
 		panic(http.ErrAbortHandler)
 	default:
-		s.refuse(w, r, q, refusal, a.endpoint.ID)
+		s.writeRefusal(w, r, q, refusal, a.endpoint.ID)
 	}
 }
 
 // writeSlack is how long after the request's deadline its answer may still be written.
 const writeSlack = 2 * time.Second
 
-// logEnd logs the refusal that ended a request. q is nil for a request refused before it was read;
-// endpoint is the last endpoint that answered, empty if none has.
-func (s *Server) logEnd(event string, q *request, refusal *protocol.Refusal, endpoint string) {
+// logRefusal logs the refusal that ended a request. q is nil for a request refused before it was
+// read; endpoint is the last endpoint that answered, empty if none has.
+func (s *Server) logRefusal(event string, q *request, refusal *protocol.Refusal, endpoint string) {
 	if q == nil {
 		s.opt.Log.Info(event, "reason", refusal.Reason, "detail", refusal.Detail, "status", refusal.Status)
 		return
@@ -268,8 +268,8 @@
 	s.opt.Log.Info(event, fields...)
 }
 
-// refuse writes a refusal as the final answer, counts it and logs it.
-func (s *Server) refuse(w http.ResponseWriter, r *http.Request, q *request, refusal *protocol.Refusal, endpoint string) {
+// writeRefusal writes a refusal as the final answer, counts it and logs it.
+func (s *Server) writeRefusal(w http.ResponseWriter, r *http.Request, q *request, refusal *protocol.Refusal, endpoint string) {
 	event, count := decisions.EventRefused, s.metrics.refused
 	if refusal.Verdict != protocol.NotRun {
 		event, count = decisions.EventFailed, s.metrics.failed
@@ -277,7 +277,7 @@
 		s.opt.Quotas.Refund(q.ticket)
 	}
 	count.Inc(1)
-	s.logEnd(event, q, refusal, endpoint)
+	s.logRefusal(event, q, refusal, endpoint)
 	h := w.Header()
 	if q != nil && q.call.ID != "" {
 		h.Set(protocol.HeaderRequestID, q.call.ID)
--- a/transport/edge/watch_test.go
+++ b/transport/edge/watch_test.go
@@ -30,7 +30,7 @@
 		holds := []fleet.LoadedModel{{Model: "m"}}
 		view := fleet.NewView(storeversion.Version{Revision: 1}, []*fleet.Endpoint{{ID: "slow", Service: "llm", Models: holds}, {ID: "full", Service: "llm", Models: holds}})
 		s := New(Options{
-			View: func() *fleet.View { return view }, Balancer: balance.New("z", 1, said()), Budget: retry.NewBudget(), Log: log, Metrics: tally.NoopScope,
+			View: func() *fleet.View { return view }, Balancer: balance.New("z", 1, newTracker()), Budget: retry.NewBudget(), Log: log, Metrics: tally.NoopScope,
 		})
 		q := testRequest()
 		q.service.Engine = &routing.Engine{}
@@ -40,14 +40,14 @@
 		for range 4 {
 			s.opt.Balancer.Failed(time.Now(), fleet.Incarnation{ID: "full"})
 		}
-		free := time.Now().Add(2400 * time.Millisecond) // an endpoint is avoided that long after four failures in a row
+		availableAt := time.Now().Add(2400 * time.Millisecond) // after four failures in a row, an endpoint is avoided for 2.4 s
 		w := s.watch(q, view.ByID["slow"], true, cancel)
 		defer w.stop()
-		time.Sleep(silenceTime(q) + 10*time.Millisecond)
+		time.Sleep(silenceTimeout(q) + 10*time.Millisecond)
 		if ctx.Err() != nil {
 			t.Fatal("the attempt was abandoned though the other engine takes no requests")
 		}
-		time.Sleep(time.Until(free) + 2*silenceRecheck)
+		time.Sleep(time.Until(availableAt) + 2*silenceRecheck)
 		if ctx.Err() == nil {
 			t.Fatal("the attempt at a silent engine was not abandoned though the other engine takes requests")
 		}
@@ -62,7 +62,7 @@
 		holds := []fleet.LoadedModel{{Model: "m"}}
 		view := fleet.NewView(storeversion.Version{Revision: 1}, []*fleet.Endpoint{{ID: "a", Service: "llm", Models: holds}, {ID: "b", Service: "llm", Models: holds}})
 		budget := retry.NewBudgetOf(0, 1)
-		s := New(Options{View: func() *fleet.View { return view }, Balancer: balance.New("z", 1, said()), Budget: budget, Log: log, Metrics: tally.NoopScope})
+		s := New(Options{View: func() *fleet.View { return view }, Balancer: balance.New("z", 1, newTracker()), Budget: budget, Log: log, Metrics: tally.NoopScope})
 		q := testRequest()
 		q.service.Engine = &routing.Engine{}
 		q.route.Kind, q.route.Resumable, q.route.MaxAttempts, q.route.MaxWait = routing.Streaming, true, 2, 2*time.Second
@@ -78,23 +78,23 @@
 // While the retry budget is empty, a begun answer waits for credit as long as its caller waits. A
 // request without a part of its answer fails at once, even if it may have run: its caller can retry.
 func TestOnlyBegunAnswersWaitForTheBudget(t *testing.T) {
-	const patience = 2 * time.Second
+	const maxWait = 2 * time.Second
 	for _, begun := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			view := fleet.NewView(storeversion.Version{Revision: 1}, nil)
-			s := New(Options{View: func() *fleet.View { return view }, Balancer: balance.New("z", 1, said()), Budget: retry.NewBudgetOf(0, 0), Metrics: tally.NoopScope})
+			s := New(Options{View: func() *fleet.View { return view }, Balancer: balance.New("z", 1, newTracker()), Budget: retry.NewBudgetOf(0, 0), Metrics: tally.NoopScope})
 			q := testRequest()
-			q.arrived, q.deadline, q.route.MaxWait = time.Now(), time.Now().Add(time.Minute), patience
-			tr := &tries{sends: 1, ran: 1, verdict: protocol.MayHaveRun, last: &failure{verdict: protocol.MayHaveRun}}
-			if s.payRetry(t.Context(), q, tr, begun) {
+			q.arrived, q.deadline, q.route.MaxWait = time.Now(), time.Now().Add(time.Minute), maxWait
+			tr := &attemptState{sends: 1, ran: 1, verdict: protocol.MayHaveRun, last: &failure{verdict: protocol.MayHaveRun}}
+			if s.takeRetry(t.Context(), q, tr, begun) {
 				t.Fatal("got a retry out of an empty budget")
 			}
-			if waited := time.Since(q.arrived); !begun && waited > 0 || begun && (waited == 0 || waited >= patience) {
+			if waited := time.Since(q.arrived); !begun && waited > 0 || begun && (waited == 0 || waited >= maxWait) {
 				t.Errorf("begun %v: waited %v", begun, waited)
 			}
 		})
 	}
 }
 
-// said returns a tracker without any reports of endpoints.
-func said() *backpressure.Tracker { return backpressure.New(backpressure.Options{}) }
+// newTracker returns a tracker without any reports of endpoints.
+func newTracker() *backpressure.Tracker { return backpressure.New(backpressure.Options{}) }
--- a/transport/operators/server.go
+++ b/transport/operators/server.go
@@ -28,11 +28,11 @@
 // Rollout changes the configuration; driver/rollout implements it.
 type Rollout interface {
 	Propose(ctx context.Context, content []byte, author, note string) (string, error)
-	SignOff(ctx context.Context, digest, who string) error
-	Advance(ctx context.Context, digest string, expected uint64, by string) (rules.Pointer, error)
+	SignOff(ctx context.Context, digest, operator string) error
+	Advance(ctx context.Context, digest string, expected uint64, operator string) (rules.Pointer, error)
 	Pointer(ctx context.Context) (rules.Pointer, error)
 	Content(ctx context.Context, digest string) (string, error)
-	SetDrain(ctx context.Context, endpoint string, on bool, by string) error
+	SetDrain(ctx context.Context, endpoint string, on bool, operator string) error
 }
 
 // Options configure a Server.
--- a/transport/platform/client.go
+++ b/transport/platform/client.go
@@ -116,8 +116,8 @@
 	body       []byte
 }
 
-// at returns the version with a revision in the platform's generation.
-func (a *answer) at(revision uint64) storeversion.Version {
+// versionAt returns the version with a revision in the platform's generation.
+func (a *answer) versionAt(revision uint64) storeversion.Version {
 	return storeversion.Version{Generation: a.generation, Revision: revision}
 }
 
@@ -175,9 +175,9 @@
 	var o Object
 	a, err := c.getJSON(ctx, objectPath(kind, name), c.opt.Timeout, &o)
 	if err != nil {
-		return a.at(0), err
+		return a.versionAt(0), err
 	}
-	return a.at(o.Version), Error.Wrap(json.Unmarshal(o.Value, v))
+	return a.versionAt(o.Version), Error.Wrap(json.Unmarshal(o.Value, v))
 }
 
 // List returns all objects of a kind, and the generation of their versions.
@@ -201,7 +201,7 @@
 	a, err := c.do(ctx, http.MethodPut, objectPath(kind, name), fmt.Sprint(expected.Revision), body, c.opt.Timeout)
 	switch {
 	case err == nil && a.status == http.StatusConflict:
-		return a.at(0), protocol.WriteConflict
+		return a.versionAt(0), protocol.WriteConflict
 	case err != nil || a.status != http.StatusOK:
 		return version, protocol.WriteUnknown
 	}
@@ -209,7 +209,7 @@
 	if json.Unmarshal(a.body, &o) != nil || a.generation != expected.Generation {
 		return version, protocol.WriteUnknown
 	}
-	return a.at(o.Version), protocol.WriteOK
+	return a.versionAt(o.Version), protocol.WriteOK
 }
 
 // IfAbsent returns the version to expect in Put for an object that must not exist.
--- a/transport/proxy/proxy.go
+++ b/transport/proxy/proxy.go
@@ -62,10 +62,10 @@
 
 // Client sends attempts. It is safe for concurrent use.
 type Client struct {
-	repeatable *http.Client
-	// once opens a connection for each request. It serves requests that may run only once: a
+	pooled *http.Client
+	// perRequest opens a connection for each request. It serves requests that may run only once: a
 	// reused connection may break under a request, and the transport would send it again.
-	once        *http.Client
+	perRequest  *http.Client
 	answerBytes int64
 }
 
@@ -76,8 +76,8 @@
 func New(answerBytes int64) *Client {
 	dial := (&net.Dialer{Timeout: dialTimeout}).DialContext
 	return &Client{
-		repeatable:  &http.Client{Transport: &http.Transport{DialContext: dial, MaxIdleConnsPerHost: 256, IdleConnTimeout: 30 * time.Second, DisableCompression: true}},
-		once:        &http.Client{Transport: &http.Transport{DialContext: dial, DisableKeepAlives: true, DisableCompression: true}},
+		pooled:      &http.Client{Transport: &http.Transport{DialContext: dial, MaxIdleConnsPerHost: 256, IdleConnTimeout: 30 * time.Second, DisableCompression: true}},
+		perRequest:  &http.Client{Transport: &http.Transport{DialContext: dial, DisableKeepAlives: true, DisableCompression: true}},
 		answerBytes: answerBytes,
 	}
 }
@@ -112,45 +112,45 @@
 	if r.ResumeFrom > 0 {
 		req.Header.Set(protocol.HeaderResumeOffset, strconv.Itoa(r.ResumeFrom))
 	}
-	client := c.once
+	client := c.perRequest
 	if r.Repeatable {
-		client = c.repeatable
+		client = c.pooled
 	}
 	resp, err := client.Do(req)
 	if err != nil {
 		return nil, classify(err)
 	}
-	says := backpressure(resp)
-	if f := refusedUnrun(resp); f != nil {
+	signals := readBackpressure(resp)
+	if f := refusedNotRun(resp); f != nil {
 		_ = resp.Body.Close()
-		says.Leaving, f.Paused = f.Leaving, says.Pause.For > 0
-		r.heard(says, false) // the refusal may come from a proxy in front of the endpoint
+		signals.Leaving, f.Paused = f.Leaving, signals.Pause.For > 0
+		r.observe(signals, false) // the refusal may come from a proxy in front of the endpoint
 		return nil, f
 	}
 	if got := resp.Header.Get(protocol.HeaderAttemptID); got != r.AttemptID && (got != "" || r.MustEcho) {
 		_ = resp.Body.Close()
 		return nil, &Failure{Verdict: protocol.MayHaveRun, Reason: "crossed-answer"}
 	}
-	r.heard(says, true)
+	r.observe(signals, true)
 	return resp, nil
 }
 
-func (r *Request) heard(says protocol.Backpressure, whole bool) {
+func (r *Request) observe(signals protocol.Backpressure, whole bool) {
 	if r.ObserveBackpressure != nil {
-		r.ObserveBackpressure(says, whole)
+		r.ObserveBackpressure(signals, whole)
 	}
 }
 
-// backpressure reads the backpressure signals of an answer.
-func backpressure(resp *http.Response) protocol.Backpressure {
-	says := protocol.Backpressure{
+// readBackpressure reads the backpressure signals of an answer.
+func readBackpressure(resp *http.Response) protocol.Backpressure {
+	signals := protocol.Backpressure{
 		Leaving: protocol.ReadLeaving(resp.Header[protocol.HeaderLeaving]),
 		Limit:   protocol.ReadRateLimit(resp.Header[protocol.HeaderRateLimit]),
 	}
 	if resp.StatusCode == http.StatusServiceUnavailable {
-		says.Pause = protocol.ReadPause(resp.Header["Retry-After"], resp.Header.Get("Date"), time.Now())
+		signals.Pause = protocol.ReadPause(resp.Header["Retry-After"], resp.Header.Get("Date"), time.Now())
 	}
-	return says
+	return signals
 }
 
 func classify(err error) *Failure {
@@ -163,9 +163,9 @@
 	return &Failure{Verdict: protocol.MayHaveRun, Reason: "endpoint-failed", Err: err, Broken: true}
 }
 
-// refusedUnrun returns the failure of an answer that reports that the request has not run; nil for
+// refusedNotRun returns the failure of an answer that reports that the request has not run; nil for
 // other answers, which are for the caller whatever their status.
-func refusedUnrun(resp *http.Response) *Failure {
+func refusedNotRun(resp *http.Response) *Failure {
 	if resp.Header.Get(protocol.HeaderVerdict) != protocol.NotRun.String() {
 		return nil
 	}
--- a/transport/proxy/stream.go
+++ b/transport/proxy/stream.go
@@ -56,7 +56,7 @@
 		case bytes.HasPrefix(line, []byte("id: ")):
 			id = string(line[len("id: "):])
 		case bytes.HasPrefix(line, []byte("data: ")):
-			if f := p.take(r.AttemptID, id, line[len("data: "):], sink); f != nil {
+			if f := p.handle(r.AttemptID, id, line[len("data: "):], sink); f != nil {
 				return f
 			}
 			if p.Done {
@@ -70,8 +70,8 @@
 	return &Failure{Verdict: protocol.MayHaveRun, Reason: "stream-cut", Broken: true}
 }
 
-// take checks one event and writes it to the sink.
-func (p *Progress) take(attempt, id string, data []byte, sink Sink) *Failure {
+// handle checks one event and writes it to the sink.
+func (p *Progress) handle(attempt, id string, data []byte, sink Sink) *Failure {
 	name, offsetText, _ := strings.Cut(id, ":")
 	offset, err := strconv.Atoi(offsetText)
 	switch {
--- a/transport/silence/silence_test.go
+++ b/transport/silence/silence_test.go
@@ -69,11 +69,11 @@
 func TestOneTimeoutIsEnough(t *testing.T) {
 	s := newSilentServer(t)
 	c := &http.Client{Transport: Transport{&http.Transport{MaxIdleConnsPerHost: 8}}}
-	const patience = 20 * time.Second
+	const timeout = 20 * time.Second
 	var wg sync.WaitGroup
 	for range 4 {
 		wg.Go(func() {
-			if err := s.get(c, "/hold", patience); err != nil {
+			if err := s.get(c, "/hold", timeout); err != nil {
 				t.Error(err)
 			}
 		})
@@ -91,7 +91,7 @@
 	if s.get(c, "/", 50*time.Millisecond) == nil {
 		t.Fatal("a request on a silent connection was answered")
 	}
-	if err := s.get(c, "/", patience); err != nil {
+	if err := s.get(c, "/", timeout); err != nil {
 		t.Fatalf("the next request waited on another silent connection: %v", err)
 	}
 }
@@ -114,8 +114,8 @@
 	begin, end := make(chan struct{}), make(chan struct{})
 	close(begin)
 	s := slowServer(t, begin, end)
-	const within, transfer = 500 * time.Millisecond, time.Minute
-	ctx, limit := Limit(context.Background(), within)
+	const beginTimeout, transferTimeout = 500 * time.Millisecond, time.Minute
+	ctx, limit := Limit(context.Background(), beginTimeout)
 	defer limit.End()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, s.URL, nil)
 	if err != nil {
@@ -126,8 +126,8 @@
 		t.Fatal(limit.Explain(err))
 	}
 	defer func() { _ = resp.Body.Close() }()
-	limit.Extend(transfer)
-	time.AfterFunc(2*within, func() { close(end) })
+	limit.Extend(transferTimeout)
+	time.AfterFunc(2*beginTimeout, func() { close(end) })
 	content, err := io.ReadAll(resp.Body)
 	if err != nil || string(content) != "begun ended" {
 		t.Fatalf("%q, %v", content, limit.Explain(err))
