--- a/transport/edge/attempt.go
+++ b/transport/edge/attempt.go
@@ -21,60 +21,62 @@
 )
 
 const (
-	// dialTimeout bounds connecting to an endpoint: they are a millisecond or
-	// two away, and one that is dark never answers.
+	// dialTimeout bounds connecting to an endpoint. Round trips to endpoints take a millisecond
+	// or two; an unreachable endpoint never answers.
 	dialTimeout = 300 * time.Millisecond
-	// idleTimeout is how long a connection to an endpoint is kept unused.
+	// idleTimeout is how long an unused connection to an endpoint is kept.
 	idleTimeout = 4 * time.Second
-	// maxAnswerBytes bounds an answer that is not a stream.
+	// maxAnswerBytes bounds the body of an answer that is not a stream.
 	maxAnswerBytes = 16 << 20
-	// idlePerEndpoint bounds the unused connections kept to one endpoint.
+	// idlePerEndpoint bounds the unused connections that are kept to one endpoint.
 	idlePerEndpoint = 8
 )
 
-// client sends requests to endpoints.
+// client holds the transports for requests to endpoints.
 type client struct {
-	// kept reuses connections, for requests that may be repeated.
-	kept *http.Transport
-	// once opens a connection for each request, so that none that may run only
-	// once goes out on a connection that the endpoint has just closed.
-	once *http.Transport
+	// pooled reuses connections. It serves requests that may be repeated.
+	pooled *http.Transport
+	// perRequest opens a connection for each request. It serves requests that may run only once: on a
+	// reused connection that the endpoint has just closed, it would be unknown whether the
+	// request has run.
+	perRequest *http.Transport
 }
 
 func newClient() *client {
 	dial := (&net.Dialer{Timeout: dialTimeout, KeepAlive: -1}).DialContext
 	return &client{
-		kept: &http.Transport{DialContext: dial, MaxIdleConnsPerHost: idlePerEndpoint, IdleConnTimeout: idleTimeout, DisableCompression: true, ReadBufferSize: bufferBytes, WriteBufferSize: bufferBytes},
-		once: &http.Transport{DialContext: dial, DisableKeepAlives: true, DisableCompression: true, ReadBufferSize: bufferBytes, WriteBufferSize: bufferBytes},
+		pooled:     &http.Transport{DialContext: dial, MaxIdleConnsPerHost: idlePerEndpoint, IdleConnTimeout: idleTimeout, DisableCompression: true, ReadBufferSize: bufferBytes, WriteBufferSize: bufferBytes},
+		perRequest: &http.Transport{DialContext: dial, DisableKeepAlives: true, DisableCompression: true, ReadBufferSize: bufferBytes, WriteBufferSize: bufferBytes},
 	}
 }
 
-// bufferBytes is the size of a connection's buffers: some events of a stream.
+// bufferBytes is the size of a connection's buffers, enough for some events of a stream.
 const bufferBytes = 4 << 10
 
-// failure is an attempt without an answer for the caller.
+// failure describes an attempt that brought no complete answer for the caller.
 type failure struct {
 	verdict protocol.Verdict
 	reason  string
 	err     error
-	absent  bool // the endpoint is another process, or does not hold the model
-	// unreachable says that no connection could be opened.
+	absent  bool // the address belongs to another process, or the endpoint does not hold the model
+	// unreachable: no connection could be opened.
 	unreachable bool
-	// refused says that nothing listens at the endpoint: the request has not reached it.
-	refused  bool
-	loading  bool              // the endpoint is still loading the model
-	paused   bool              // the endpoint wants a pause
-	began    bool              // events of the answer had come from the endpoint
-	broken   bool              // the connection to the endpoint broke
-	endpoint fleet.Incarnation // that was asked
-	paid     bool              // the retry has been taken out of the budget
+	// connRefused: the connection was refused, so that the request has not reached the endpoint.
+	connRefused     bool
+	loading         bool              // the endpoint is still loading the model
+	paused          bool              // the endpoint asked for a pause
+	eventsForwarded bool              // events of the answer had been forwarded
+	connBroken      bool              // the connection to the endpoint broke
+	endpoint        fleet.Incarnation // the endpoint of the attempt
+	retryPaid       bool              // the retry was already taken out of the budget
 }
 
-// body hides the type of the content, so that the transport cannot send a
-// request a second time by itself.
+// body hides the type of the content, so that the transport can't rewind it and resend a request
+// by itself.
 type body struct{ io.Reader }
 
-// send sends a request to an endpoint and reads the answer's header.
+// send sends a request to an endpoint and reads the answer's header. The stream continues after
+// lastEventID, if that is not empty.
 func (s *Server) send(ctx context.Context, q *request, e *fleet.Endpoint, lastEventID string) (*http.Response, *failure) {
 	req := &http.Request{
 		Method: q.method, Host: q.host, ContentLength: int64(len(q.body)), Body: io.NopCloser(body{bytes.NewReader(q.body)}),
@@ -86,71 +88,72 @@
 		}),
 	}
 	sent := clock.Now()
-	transport := s.client.once
+	transport := s.client.perRequest
 	if q.route.Repeatable() {
-		transport = s.client.kept
+		transport = s.client.pooled
 	}
 	resp, err := transport.RoundTrip(req.WithContext(ctx))
 	if err != nil {
 		return nil, classify(ctx, err)
 	}
-	mark := s.opt.Dialect.ReadAnswer(resp.StatusCode, resp.Header)
-	s.noteUnread(q, e, s.opt.Dialect.UnknownHeaders(resp.Header))
-	s.heard(q, e, sent, resp.StatusCode, mark)
-	if f := refusedByEndpoint(resp, mark, q); f != nil {
-		_, _ = io.CopyN(io.Discard, resp.Body, bufferBytes) // lets the connection be kept
+	meta := s.opt.Dialect.ReadAnswer(resp.StatusCode, resp.Header)
+	s.noteUnknownHeaders(q, e, s.opt.Dialect.UnknownHeaders(resp.Header))
+	s.observeBackpressure(q, e, sent, resp.StatusCode, meta)
+	if f := refusedByEndpoint(resp, meta, q); f != nil {
+		_, _ = io.CopyN(io.Discard, resp.Body, bufferBytes) // so that the connection can be reused
 		_ = resp.Body.Close()
 		return nil, f
 	}
-	if f := foreign(resp, mark, q); f != nil {
+	if f := mismatchedAnswer(resp, meta, q); f != nil {
 		_ = resp.Body.Close()
 		return nil, f
 	}
 	return resp, nil
 }
 
-// heard takes what an answer says of its endpoint. One that is to another request, or may come
-// from another process, says nothing; a refusal says what it names only, since it may come from
-// what stands before the endpoint.
-func (s *Server) heard(q *request, e *fleet.Endpoint, sent time.Time, status int, mark protocol.AnswerMetadata) {
-	ours := mark.RequestID == q.call.ID
-	own := mark.Sealed && (ours || mark.RequestID == "")
-	refuses := mark.NotRun && (ours || mark.RequestID == "")
-	fails := ours && status >= http.StatusInternalServerError
-	other := mark.EndpointID != "" && mark.EndpointID != e.ID
-	misdirected := mark.WrongEndpoint && mark.EndpointID != e.ID
-	if other || misdirected || !own && !refuses && !fails {
+// observeBackpressure passes the backpressure signals of an answer to the throttle. It ignores
+// answers to other requests and those that another process may have sent. A refusal may come from a
+// proxy in front of the endpoint: the signals that it carries count, but the absence of a signal
+// does not.
+func (s *Server) observeBackpressure(q *request, e *fleet.Endpoint, sent time.Time, status int, meta protocol.AnswerMetadata) {
+	ours := meta.RequestID == q.call.ID
+	authentic := meta.Sealed && (ours || meta.RequestID == "")
+	refused := meta.NotRun && (ours || meta.RequestID == "")
+	failed := ours && status >= http.StatusInternalServerError
+	otherEndpoint := meta.EndpointID != "" && meta.EndpointID != e.ID
+	misdirected := meta.WrongEndpoint && meta.EndpointID != e.ID
+	if otherEndpoint || misdirected || !authentic && !refused && !failed {
 		return
 	}
 	s.opt.Throttle.ObserveAnswer(throttle.Answer{
-		Incarnation: e.Incarnation(), Slots: e.Slots, Request: q.call.ID, Sent: sent, Signals: mark.Backpressure, Authoritative: own && !mark.NotRun,
+		Incarnation: e.Incarnation(), Slots: e.Slots, Request: q.call.ID, Sent: sent, Signals: meta.Backpressure, Authoritative: authentic && !meta.NotRun,
 	})
 }
 
-// classify says of an error before the answer whether the request may have
-// run.
+// classify turns an error before the answer's header into a failure, which says whether the
+// request may have run.
 func classify(ctx context.Context, err error) *failure {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
-		return &failure{verdict: protocol.NotRun, reason: "endpoint-unreachable", err: err, unreachable: true, refused: quarantiner.IsConnectionRefused(err)}
+		return &failure{verdict: protocol.NotRun, reason: "endpoint-unreachable", err: err, unreachable: true, connRefused: quarantiner.IsConnectionRefused(err)}
 	}
 	if ctx.Err() != nil {
 		return &failure{verdict: protocol.MayHaveRun, reason: "no-answer-in-time", err: ctx.Err()}
 	}
-	return &failure{verdict: protocol.MayHaveRun, reason: "endpoint-failed", err: err, broken: true}
+	return &failure{verdict: protocol.MayHaveRun, reason: "endpoint-failed", err: err, connBroken: true}
 }
 
-// refusedByEndpoint recognises the endpoint's word that the request has not
-// run.
-func refusedByEndpoint(resp *http.Response, mark protocol.AnswerMetadata, q *request) *failure {
-	if !mark.NotRun || mark.RequestID != "" && mark.RequestID != q.call.ID {
+// refusedByEndpoint returns the failure of an answer that reports that the request has not run;
+// nil for other answers.
+func refusedByEndpoint(resp *http.Response, meta protocol.AnswerMetadata, q *request) *failure {
+	if !meta.NotRun || meta.RequestID != "" && meta.RequestID != q.call.ID {
 		return nil
 	}
 	f := &failure{verdict: protocol.NotRun, reason: "endpoint-refused", err: fmt.Errorf("status %d", resp.StatusCode)}
 	switch {
-	case mark.WrongEndpoint:
+	case meta.WrongEndpoint:
 		f.absent, f.reason = true, "not-held-there"
-	case mark.Backpressure.Pause.For > 0:
+	case meta.Backpressure.Pause.For > 0:
 		f.paused, f.reason = true, "endpoint-paused"
 	case resp.StatusCode == http.StatusServiceUnavailable && q.call.Model != "" && q.waited > 0:
 		f.loading = true
@@ -158,65 +161,66 @@
 	return f
 }
 
-// foreign recognises answers that are not to this request, and successes that
-// the endpoint did not make. They have been sent in place of its answer, so
-// the request may have run.
-func foreign(resp *http.Response, mark protocol.AnswerMetadata, q *request) *failure {
+// mismatchedAnswer returns the failure of an answer to another request, or of a success that the
+// endpoint did not mark as its own; nil for other answers. Such an answer came in place of the
+// endpoint's, so the request may have run.
+func mismatchedAnswer(resp *http.Response, meta protocol.AnswerMetadata, q *request) *failure {
 	switch {
-	case mark.RequestID != q.call.ID:
-		return &failure{verdict: protocol.MayHaveRun, reason: "crossed-answer", err: fmt.Errorf("answer to %q", mark.RequestID)}
-	case resp.StatusCode < http.StatusMultipleChoices && !mark.Sealed:
+	case meta.RequestID != q.call.ID:
+		return &failure{verdict: protocol.MayHaveRun, reason: "crossed-answer", err: fmt.Errorf("answer to %q", meta.RequestID)}
+	case resp.StatusCode < http.StatusMultipleChoices && !meta.Sealed:
 		return &failure{verdict: protocol.MayHaveRun, reason: "unsealed-answer"}
 	}
 	return nil
 }
 
-// attempt sends a request to one endpoint and brings the answer back. more
-// says that another endpoint may be tried afterwards.
+// attempt sends a request to one endpoint and forwards the answer. more reports whether another
+// endpoint may be tried afterwards.
 func (s *Server) attempt(ctx context.Context, q *request, e *fleet.Endpoint, a *answer, more bool) *failure {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	s.opt.Balancer.Started(e)
-	began := time.Now()
+	startedAt := time.Now()
 	s.countRunning(q, e.Incarnation(), 1)
 	defer s.countRunning(q, e.Incarnation(), -1)
 	ok := false
-	defer func() { s.opt.Balancer.Ended(clock.Now(), e, q.unit(), time.Since(began), ok) }()
+	defer func() { s.opt.Balancer.Ended(clock.Now(), e, q.unit(), time.Since(startedAt), ok) }()
 	w := s.watch(q, e, more, cancel)
 	defer w.stop()
-	a.sent, a.viewAge = time.Now(), s.opt.ViewAge()
-	heard := a.last
-	resp, f := s.send(ctx, q, e, a.lastID)
+	a.sentAt, a.viewAge = time.Now(), s.opt.ViewAge()
+	lastEventBefore := a.lastEventAt
+	resp, f := s.send(ctx, q, e, a.lastEventID)
 	if f == nil {
 		a.endpoint = e.Incarnation()
 		f = s.deliver(q, a, resp, w, more)
 		_ = resp.Body.Close()
 	}
 	if f != nil {
-		f.began = a.last != heard
-		f.broken = f.broken && ctx.Err() == nil // else it was broken here
+		f.eventsForwarded = a.lastEventAt != lastEventBefore
+		f.connBroken = f.connBroken && ctx.Err() == nil // otherwise this daemon closed the connection
 	}
-	if f != nil && w.gaveUp() {
-		f.paid = true
-		s.client.kept.CloseIdleConnections() // they may be as dead as the one that was waited on
+	if f != nil && w.abandoned() {
+		f.retryPaid = true
+		s.client.pooled.CloseIdleConnections() // they may be as unresponsive as the attempt's own
 	}
-	if f != nil && f.verdict != protocol.NotRun && a.first.IsZero() {
-		s.countFirst(q, e.Incarnation(), time.Since(a.sent))
+	if f != nil && f.verdict != protocol.NotRun && a.firstEventAt.IsZero() {
+		s.countFirstEvent(q, e.Incarnation(), time.Since(a.sentAt))
 	}
 	ok = f == nil
 	return f
 }
 
-// deliver brings an answer back whose header has come.
+// deliver forwards an answer whose header has been received.
 func (s *Server) deliver(q *request, a *answer, resp *http.Response, w *silenceWatch, more bool) *failure {
 	if q.route.Kind == routing.Streaming && resp.StatusCode == http.StatusOK {
-		return a.stream(resp, w)
+		return a.forwardStream(resp, w)
 	}
-	return a.whole(resp, w, more && q.route.Repeatable())
+	return a.forwardWhole(resp, w, more && q.route.Repeatable())
 }
 
-// hasOther reports whether another endpoint can serve a request now. One that has just
-// refused others cannot: a stream taken from an engine that is only slow would end.
+// hasOther reports whether an endpoint other than id can serve a request now. Endpoints that have
+// just failed don't count: they would refuse this request too, and a stream taken from an engine
+// that is merely slow would break off.
 func (s *Server) hasOther(q *request, id string) bool {
 	now := clock.Now()
 	return slices.ContainsFunc(s.candidates(q), func(e *fleet.Endpoint) bool {
@@ -224,7 +228,7 @@
 	})
 }
 
-// candidates returns the endpoints that can serve a request now, by the list.
+// candidates returns the endpoints that can serve a request now, according to the daemon's view.
 func (s *Server) candidates(q *request) []*fleet.Endpoint {
 	if q.service.Engine != nil && q.call.Model != "" {
 		return s.holders(q)
--- a/transport/edge/demand_test.go
+++ b/transport/edge/demand_test.go
@@ -12,7 +12,7 @@
 	"github.com/doorvalve/doorvalve/state/routing"
 )
 
-func turned(s *Server) bool {
+func demandChanged(s *Server) bool {
 	select {
 	case <-s.DemandChanged():
 		return true
@@ -28,8 +28,8 @@
 	}
 }
 
-// The coordinator is told at once when a model begins or ceases to run at an
-// endpoint, and not of each request of a busy one.
+// The coordinator is notified at once when a model gets its first running request at an endpoint or
+// has none left there, and not of each request of a busy model.
 func TestDemandTurns(t *testing.T) {
 	s, q := New(Options{Metrics: tally.NoopScope}), testRequest()
 	for i, step := range []struct {
@@ -37,21 +37,22 @@
 		want bool
 	}{{1, true}, {1, false}, {-1, false}, {-1, true}} {
 		s.countRunning(q, fleet.Incarnation{ID: "e"}, step.n)
-		if got := turned(s); got != step.want {
-			t.Errorf("step %d: turned %v", i, got)
+		if got := demandChanged(s); got != step.want {
+			t.Errorf("step %d: change signalled %v", i, got)
 		}
 	}
 }
 
-func TestFirstEventsAreToldOnce(t *testing.T) {
+// First events are part of one report only, or the coordinator would count them twice.
+func TestFirstEventsReportedOnce(t *testing.T) {
 	s, q := New(Options{Metrics: tally.NoopScope}), testRequest()
-	s.countFirst(q, fleet.Incarnation{ID: "e"}, 100*time.Millisecond)
-	s.countFirst(q, fleet.Incarnation{ID: "e"}, 900*time.Millisecond)
+	s.countFirstEvent(q, fleet.Incarnation{ID: "e"}, 100*time.Millisecond)
+	s.countFirstEvent(q, fleet.Incarnation{ID: "e"}, 900*time.Millisecond)
 	place := residency.Place{Endpoint: fleet.Incarnation{ID: "e"}, Model: "m"}
 	if got, want := s.Demand()["llm"].FirstEvents[place], (residency.FirstEvents{Count: 2, Slow: 1, Rank: 1}); got != want {
 		t.Fatalf("got %+v, want %+v", got, want)
 	}
 	if got := s.Demand()["llm"].FirstEvents; len(got) != 0 {
-		t.Fatalf("told again: %+v", got)
+		t.Fatalf("first events reported twice: %+v", got)
 	}
 }
