--- a/daemon/edgedaemon/daemon.go
+++ b/daemon/edgedaemon/daemon.go
@@ -54,19 +54,19 @@
 	// away and answer at once.
 	engineTimeout = 300 * time.Millisecond
 	// metricsEvery is how often counters are handed to the reporter.
-	metricsEvery = 5 * time.Second
+	metricsInterval = 5 * time.Second
 	// retryPart keeps the daemons together below the bound on retries, since
 	// each knows only its own requests.
-	retryPart = 0.85
+	retryShare = 0.85
 	// memoryPart is the part of the memory limit at which the collector works
 	// harder; the rest is for what it does not count.
-	memoryPart = 0.6
+	memoryShare = 0.6
 	// collectAt is the growth of the heap, in percent, between two
 	// collections.
-	collectAt = 100
+	gcPercent = 100
 	// flushPart is the part of the time that an event may take through the
 	// daemon for which events are gathered.
-	flushPart = 0.4
+	flushShare = 0.4
 	// requestsPerDescriptor: a request needs one connection to its caller and
 	// one to its endpoint, beside those that are idle.
 	requestsPerDescriptor = 0.3
@@ -85,8 +85,8 @@
 	peers       *peers.Client
 	balancer    *balance.Balancer
 	budget      *retry.Budget
-	keeper      *quarantiner.Controller
-	shares      *quotas.Controller
+	quarantine  *quarantiner.Controller
+	quotas      *quotas.Controller
 	throttle    *throttle.Controller
 	callers     *edge.Server
 	metrics     tally.Scope
@@ -102,7 +102,7 @@
 	coordinators map[string]*coordinator.Coordinator
 	fleets       *peers.Clients[fleetpb.Fleet]
 	runCtx       context.Context
-	stopping     atomic.Pointer[time.Time] // when the stop began; nil while serving
+	stopStarted  atomic.Pointer[time.Time] // when the stop began; nil while serving
 	stopped      chan struct{}             // closed then
 	lastSent     map[string]int
 	lists        endpointLists // only runDemand uses them
@@ -114,14 +114,14 @@
 
 // New returns a daemon with its listeners open.
 func New(set settings.Edge, log *decisions.Log) (*Daemon, error) {
-	debug.SetGCPercent(collectAt)
-	debug.SetMemoryLimit(int64(float64(set.Limits.MemoryMB<<20) * memoryPart))
-	said := backpressure.New(backpressure.Options{LeaveWithin: set.Timing.LeaveWithin.D(), Seed: uint64(time.Now().UnixNano())})
+	debug.SetGCPercent(gcPercent)
+	debug.SetMemoryLimit(int64(float64(set.Limits.MemoryMB<<20) * memoryShare))
+	tracker := backpressure.New(backpressure.Options{LeaveWithin: set.Timing.LeaveWithin.D(), Seed: uint64(time.Now().UnixNano())})
 	d := &Daemon{
 		set: set, log: log, self: set.Host + "-" + nonce(), coordinators: map[string]*coordinator.Coordinator{},
 		lastSent: map[string]int{}, stopped: make(chan struct{}),
-		peers: peers.NewClient(""), balancer: balance.New(set.FailureDomain, uint64(time.Now().UnixNano()), said),
-		budget:    retry.NewEarnedBudget(set.Retries.Ratio * retryPart),
+		peers: peers.NewClient(""), balancer: balance.New(set.FailureDomain, uint64(time.Now().UnixNano()), tracker),
+		budget:    retry.NewEarnedBudget(set.Retries.Ratio * retryShare),
 		vacancies: vacancies{takeover: coordinator.TakeoverTime(set.Timing.OrderGap.D())},
 	}
 	d.fleets = d.peers.Fleets()
@@ -131,34 +131,34 @@
 	d.reporter = promreporter.NewReporter(promreporter.Options{Registerer: prometheus.NewRegistry()})
 	d.metrics, d.closer = tally.NewRootScope(tally.ScopeOptions{
 		Prefix: "doorvalve", CachedReporter: d.reporter, Separator: promreporter.DefaultSeparator, OmitCardinalityMetrics: true,
-	}, metricsEvery)
+	}, metricsInterval)
 	d.shareRetries(1)
 	d.generations = generations.New(log, d.metrics)
 	d.store = platform.NewStore(set.Store.Address, set.Store.Timeout.D(), d.generations, d.metrics)
-	d.engines = platform.NewEngineClient(engineTimeout, d.engineSaid)
+	d.engines = platform.NewEngineClient(engineTimeout, d.observeEngineAnswer)
 	d.view = storeview.New(storeview.Options{
 		Store: d.store, Decode: platform.DecodeDesiredState, Log: log, Self: d.self, Peer: d.anyPeer, Upstreams: d.upstreams,
 		PropagationBound: min(set.Timing.LeaveWithin.D(), set.Timing.ApplyWithin.D()), Heartbeat: set.Timing.EndpointHeartbeat.D(), Generations: d.generations, Metrics: d.metrics,
 	})
-	d.view.OnChange(d.changed)
+	d.view.OnChange(d.applyView)
 	d.gossip = gossip.New(hclog.NewNullLogger(), d.peers, d.seeds, gossip.Options(staleFact), d.member())
-	d.keeper = quarantiner.New(quarantiner.Options{
-		Self: d.self, Members: d.alive, Peer: d.peers.Quarantines().To, Endpoint: d.endpointState, OnCrash: func(life fleet.Incarnation) { d.balancer.MarkUnreachable(clock.Now(), life) }, Store: d.store, Generations: d.generations, Log: log, Metrics: d.metrics,
+	d.quarantine = quarantiner.New(quarantiner.Options{
+		Self: d.self, Members: d.alive, Peer: d.peers.Quarantines().To, Endpoint: d.endpointState, OnCrash: func(incarnation fleet.Incarnation) { d.balancer.MarkUnreachable(clock.Now(), incarnation) }, Store: d.store, Generations: d.generations, Log: log, Metrics: d.metrics,
 	})
-	d.shares = quotas.New(quotas.Options{
+	d.quotas = quotas.New(quotas.Options{
 		Self: d.self, Bounds: quota.Bounds{Window: set.Quotas.Window.D(), Overage: set.Quotas.Overage, Slack: set.Quotas.Slack, NewOwnerShare: quota.DefaultNewOwnerShare},
-		Members: d.gossip.Members, Revision: d.gossip.Revision, Directory: d.workspaces, Listed: d.endpointListed, Publish: d.gossip.Set, OnLimitChange: d.endpointLimited, Store: d.store, Generations: d.generations, Peer: d.peers.Quotas().To, Log: log, Metrics: d.metrics,
+		Members: d.gossip.Members, Revision: d.gossip.Revision, Directory: d.workspaces, Listed: d.endpointListed, Publish: d.gossip.Set, OnLimitChange: d.setEndpointLimit, Store: d.store, Generations: d.generations, Peer: d.peers.Quotas().To, Log: log, Metrics: d.metrics,
 	})
 	d.throttle = throttle.New(throttle.Options{
-		Self: d.self, Tracker: said, Limits: d.shares.Endpoints(), LastReady: d.endpointReadyAt, Daemons: func() int { return len(d.alive()) }, Listed: d.endpointListed, OnLeaving: d.view.ObserveLeaving, Publish: d.gossip.Set, Log: log, Metrics: d.metrics,
+		Self: d.self, Tracker: tracker, Limits: d.quotas.Endpoints(), LastReady: d.endpointLastReady, Daemons: func() int { return len(d.alive()) }, Listed: d.endpointListed, OnLeaving: d.view.ObserveLeaving, Publish: d.gossip.Set, Log: log, Metrics: d.metrics,
 	})
-	d.gossip.OnFact(d.shares.Endpoints().ReceiveFact)
+	d.gossip.OnFact(d.quotas.Endpoints().ReceiveFact)
 	d.gossip.OnFact(d.throttle.ReceiveFact)
 	d.callers = edge.New(edge.Options{
-		StateAge: d.stateAge, Access: access.Bounds{Apply: set.Timing.ApplyWithin.D(), Revoke: set.Timing.RevokeWithin.D()}, Quotas: d.shares, Throttle: d.throttle,
-		Table: d.view.Table, View: d.view.Endpoints, ViewAge: d.endpointsAge, Draining: d.draining, DrainDeadline: d.ends, Dialect: platform.Dialect{}, Locator: d, Balancer: d.balancer,
-		Budget: d.budget, Quarantine: d.keeper, Log: log, Metrics: d.metrics,
-		FlushEvery:  time.Duration(float64(set.Timing.Pass.D()) * flushPart),
+		StateAge: d.stateAge, Access: access.Bounds{Apply: set.Timing.ApplyWithin.D(), Revoke: set.Timing.RevokeWithin.D()}, Quotas: d.quotas, Throttle: d.throttle,
+		Table: d.view.Table, View: d.view.Endpoints, ViewAge: d.endpointsAge, Draining: d.draining, DrainDeadline: d.deadline, Dialect: platform.Dialect{}, Locator: d, Balancer: d.balancer,
+		Budget: d.budget, Quarantine: d.quarantine, Log: log, Metrics: d.metrics,
+		FlushEvery:  time.Duration(float64(set.Timing.Pass.D()) * flushShare),
 		Connections: int64(float64(set.Limits.Descriptors) * requestsPerDescriptor),
 	})
 	return d, nil
@@ -210,7 +210,7 @@
 }
 
 // changed brings a new desired state or new endpoints to the coordinators.
-func (d *Daemon) changed() {
+func (d *Daemon) applyView() {
 	table, view := d.view.Table(), d.view.Endpoints()
 	d.balancer.Retain(view)
 	if table == nil {
@@ -247,10 +247,10 @@
 	c = coordinator.New(coordinator.Options{
 		Service: service, Self: d.set.Listen.Peers, Lease: leaserelay.New(d.store, d.leasePeers, d.generations, d.log), Engines: d.engines, OrderGap: d.set.Timing.OrderGap.D(),
 		Planner:   residency.Options{InitialStoreConcurrency: d.set.Loads.AtOnce, RateWindow: d.set.Loads.Window.D(), RateFactor: d.set.Loads.Factor},
-		Candidate: d.candidate, OnLeaseChange: d.holderChanged, PeerState: d.leaseHeard, FirstStart: d.set.FirstStart, StoreConcurrency: d.storePlaces, OnStoreConcurrency: d.storePlacesLearned, Log: d.log, Metrics: d.metrics,
+		Candidate: d.candidate, OnLeaseChange: d.publishHolder, PeerState: d.leasePeerState, FirstStart: d.set.FirstStart, StoreConcurrency: d.storeConcurrency, OnStoreConcurrency: d.publishStoreConcurrency, Log: d.log, Metrics: d.metrics,
 	})
-	for life, w := range d.shares.Endpoints().Limited() {
-		c.SetLimit(life, w)
+	for incarnation, report := range d.quotas.Endpoints().Limited() {
+		c.SetLimit(incarnation, report)
 	}
 	d.coordinators[service] = c
 	if d.runCtx != nil {
@@ -282,7 +282,7 @@
 		d.addServer(&g, d.listeners.metrics, d.reporter.HTTPHandler())
 	}
 	for _, actor := range []func(context.Context) error{
-		d.gossip.Run, d.view.RunDesiredState, d.view.RunEndpoints, d.view.RunRelay, d.view.RunCatchUp, d.view.RunPeers, d.keeper.Run, d.shares.Run, d.throttle.Run, d.runGauges, d.runDemand, d.runStop,
+		d.gossip.Run, d.view.RunDesiredState, d.view.RunEndpoints, d.view.RunRelay, d.view.RunCatchUp, d.view.RunPeers, d.quarantine.Run, d.quotas.Run, d.throttle.Run, d.runGauges, d.runDemand, d.runStop,
 	} {
 		actorCtx, stop := context.WithCancel(ctx)
 		g.Add(func() error { return actor(actorCtx) }, func(error) { stop() })
@@ -310,7 +310,7 @@
 		Handler: h, MaxHeaderBytes: maxHeaderBytes, ReadHeaderTimeout: callerHeaderTimeout, IdleTimeout: callerIdleTimeout,
 		ErrorLog: d.log.StandardLogger(&hclog.StandardLoggerOptions{ForceLevel: hclog.Debug}),
 	}
-	over := make(chan struct{})
+	interrupted := make(chan struct{})
 	g.Add(func() error {
 		err := srv.Serve(l)
 		if !errors.Is(err, http.ErrServerClosed) {
@@ -318,10 +318,10 @@
 		}
 		// A graceful shutdown ends Serve at once; the group must go on until
 		// the requests in progress are finished.
-		<-over
+		<-interrupted
 		return nil
 	}, func(error) {
-		close(over)
+		close(interrupted)
 		_ = srv.Close()
 	})
 	return srv
@@ -331,8 +331,8 @@
 func (d *Daemon) peerHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle(fleetpb.FleetPathPrefix, fleetpb.NewFleetServer((*fleetServer)(d)))
-	mux.Handle(quarantinepb.QuarantinePathPrefix, quarantinepb.NewQuarantineServer(d.keeper))
-	mux.Handle(quotapb.QuotasPathPrefix, quotapb.NewQuotasServer(d.shares))
+	mux.Handle(quarantinepb.QuarantinePathPrefix, quarantinepb.NewQuarantineServer(d.quarantine))
+	mux.Handle(quotapb.QuotasPathPrefix, quotapb.NewQuotasServer(d.quotas))
 	mux.Handle(peerpb.PeerPathPrefix, peerpb.NewPeerServer(&gossipServer{gossip: d.gossip}))
 	return mux
 }
--- a/daemon/edgedaemon/demand.go
+++ b/daemon/edgedaemon/demand.go
@@ -12,27 +12,27 @@
 // runDemand tells the coordinators of this daemon's requests, until ctx ends.
 func (d *Daemon) runDemand(ctx context.Context) error {
 	alive := len(d.alive())
-	var pace residency.DemandTimer
-	pace.ObserveSent(time.Now(), alive)
+	var demandTimer residency.DemandTimer
+	demandTimer.ObserveSent(time.Now(), alive)
 	due := time.NewTimer(0)
 	defer due.Stop()
 	for {
-		due.Reset(time.Until(pace.Due()))
+		due.Reset(time.Until(demandTimer.Due()))
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-d.callers.DemandChanged():
-			pace.ObserveChange(time.Now(), alive)
+			demandTimer.ObserveChange(time.Now(), alive)
 		case <-d.callers.PlaceFreed():
-			pace.ObserveFreed(time.Now(), alive)
+			demandTimer.ObserveFreed(time.Now(), alive)
 		case <-due.C:
 			alive = len(d.alive())
 			d.shareRetries(alive)
 			d.balancer.SetDaemons(alive)
 			for service, demand := range d.callers.Demand() {
-				d.tellDemand(ctx, service, demand, alive)
+				d.sendDemand(ctx, service, demand, alive)
 			}
-			pace.ObserveSent(time.Now(), alive)
+			demandTimer.ObserveSent(time.Now(), alive)
 		}
 	}
 }
@@ -40,24 +40,24 @@
 // leastSharing is the number of daemons that are taken to share the retries
 // until more are known: a daemon that has just started, or is cut off, must not
 // take them all.
-const leastSharing = 6
+const minSharing = 6
 
 // shareRetries takes this daemon's part of the retries that all may make.
 func (d *Daemon) shareRetries(alive int) {
-	d.budget.SetBurst(max(1, d.set.Retries.Extra*retryPart/float64(max(leastSharing, alive))))
+	d.budget.SetBurst(max(1, d.set.Retries.Extra*retryShare/float64(max(minSharing, alive))))
 }
 
 // tellDemand tells a service's coordinator of this daemon's requests, and takes its word
 // on those of all. alive is the number of daemons.
-func (d *Daemon) tellDemand(ctx context.Context, service string, demand residency.Demand, alive int) {
+func (d *Daemon) sendDemand(ctx context.Context, service string, demand residency.Demand, alive int) {
 	if len(demand.Active) == 0 && d.lastSent[service] == 0 {
 		return
 	}
 	d.lastSent[service] = len(demand.Active)
 	mine := d.balancer.OwnRunning()
-	if own := d.coordinates(service); own != nil && own.Holds() {
+	if own := d.localCoordinator(service); own != nil && own.Holds() {
 		own.ReceiveDemand(d.self, demand)
-		d.toldRunning(service, own.Running(), mine, alive)
+		d.receiveRunning(service, own.Running(), mine, alive)
 		return
 	}
 	address := d.holder(service)
@@ -83,7 +83,7 @@
 		d.log.Debug("demand not told", "service", service, "holder", address, "error", err)
 		return
 	}
-	d.toldRunning(service, d.lists.running(d.view.Endpoints().ByService[service], resp), mine, alive)
+	d.receiveRunning(service, d.lists.unpackRunning(d.view.Endpoints().ByService[service], resp), mine, alive)
 }
 
 func runningAt(place residency.Place, requests int, first residency.FirstEvents) *fleetpb.Running {
@@ -95,7 +95,7 @@
 
 // Demand implements fleetpb.Fleet.
 func (s *fleetServer) Demand(_ context.Context, req *fleetpb.DemandRequest) (*fleetpb.DemandResponse, error) {
-	if c := (*Daemon)(s).coordinates(req.Service); c != nil {
+	if c := (*Daemon)(s).localCoordinator(req.Service); c != nil {
 		demand := residency.Demand{
 			Active: make(map[string]int, len(req.Active)), Running: make(map[residency.Place]int, len(req.Running)), FirstEvents: map[residency.Place]residency.FirstEvents{},
 		}
--- a/daemon/edgedaemon/holders.go
+++ b/daemon/edgedaemon/holders.go
@@ -7,7 +7,7 @@
 
 // silentPause is how long a coordinator that did not answer is not asked
 // again, so that requests do not all wait for it.
-const silentPause = 400 * time.Millisecond
+const holderBackoff = 400 * time.Millisecond
 
 // maxHolders bounds the memory of coordinators that did not answer.
 const maxHolders = 64
@@ -19,7 +19,7 @@
 }
 
 // silent reports whether a coordinator has just not answered.
-func (h *holderHealth) silent(address string, now time.Time) bool {
+func (h *holderHealth) backingOff(address string, now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return now.Before(h.until[address])
@@ -34,7 +34,7 @@
 		h.until = map[string]time.Time{}
 	}
 	_, known := h.until[address]
-	h.until[address] = now.Add(silentPause)
+	h.until[address] = now.Add(holderBackoff)
 	return !known
 }
 
--- a/daemon/edgedaemon/leases.go
+++ b/daemon/edgedaemon/leases.go
@@ -11,12 +11,12 @@
 
 // leasePeers returns some of the other daemons, at random, as ways to the
 // store.
-func (d *Daemon) leasePeers(most int) []leaserelay.Peer {
+func (d *Daemon) leasePeers(limit int) []leaserelay.Peer {
 	members := d.alive()
 	rand.Shuffle(len(members), func(i, j int) { members[i], members[j] = members[j], members[i] })
 	var list []leaserelay.Peer
 	for _, m := range members {
-		if len(list) < most && m.ID != d.self {
+		if len(list) < limit && m.ID != d.self {
 			list = append(list, d.fleet(m.PeerAddress))
 		}
 	}
@@ -30,12 +30,12 @@
 
 // leaseHeard returns what this daemon has heard of the store's generation and of the fences of a
 // service's lease.
-func (d *Daemon) leaseHeard(service string) lease.PeerState {
-	h := lease.PeerState{Generation: d.generations.Highest()}
+func (d *Daemon) leasePeerState(service string) lease.PeerState {
+	state := lease.PeerState{Generation: d.generations.Highest()}
 	if e, ok := d.gossip.Get(holderPrefix + service); ok {
-		h.Fence = e.Version
+		state.Fence = e.Version
 	}
-	return h
+	return state
 }
 
 // ReadLease implements fleetpb.Fleet.
--- a/daemon/edgedaemon/metrics.go
+++ b/daemon/edgedaemon/metrics.go
@@ -26,7 +26,7 @@
 // runGauges sets the gauges until ctx ends.
 func (d *Daemon) runGauges(ctx context.Context) error {
 	g := newGauges(d.metrics)
-	t := time.NewTicker(metricsEvery)
+	t := time.NewTicker(metricsInterval)
 	defer t.Stop()
 	for {
 		d.setGauges(g)
--- a/daemon/edgedaemon/peers.go
+++ b/daemon/edgedaemon/peers.go
@@ -63,7 +63,7 @@
 }
 
 // holderChanged tells the other daemons who coordinates a service.
-func (d *Daemon) holderChanged(service string, fence uint64, held bool) {
+func (d *Daemon) publishHolder(service string, fence uint64, held bool) {
 	if held {
 		d.gossip.Set(membership.Entry{Key: holderPrefix + service, Version: fence, Value: []byte(d.set.Listen.Peers)})
 	}
@@ -71,33 +71,33 @@
 
 // placesPrefix starts the keys of the facts that tell how many loads at once a service's
 // weight store was learned to serve.
-const placesPrefix = "store-places/"
+const storeConcurrencyPrefix = "store-places/"
 
 // placesChanges is the number of changes that a coordinator can tell under one fence.
-const placesChanges = 1 << 20
+const storeConcurrencyVersions = 1 << 20
 
 // storePlaces returns what coordinators have learned of a service's weight store; zero
 // if that is nothing.
-func (d *Daemon) storePlaces(service string) int {
-	e, ok := d.gossip.Get(placesPrefix + service)
+func (d *Daemon) storeConcurrency(service string) int {
+	e, ok := d.gossip.Get(storeConcurrencyPrefix + service)
 	if !ok {
 		return 0
 	}
-	places, err := strconv.Atoi(string(e.Value))
+	concurrency, err := strconv.Atoi(string(e.Value))
 	if err != nil {
 		d.log.Warn(decisions.EventStoreConcurrency, "service", service, "error", err)
 		return 0
 	}
-	return places
+	return concurrency
 }
 
 // storePlacesLearned tells the other daemons, one of which coordinates next.
-func (d *Daemon) storePlacesLearned(service string, fence uint64, places int) {
-	version := fence * placesChanges
-	if e, ok := d.gossip.Get(placesPrefix + service); ok {
+func (d *Daemon) publishStoreConcurrency(service string, fence uint64, concurrency int) {
+	version := fence * storeConcurrencyVersions
+	if e, ok := d.gossip.Get(storeConcurrencyPrefix + service); ok {
 		version = max(version, e.Version+1)
 	}
-	d.gossip.Set(membership.Entry{Key: placesPrefix + service, Version: version, Value: []byte(strconv.Itoa(places))})
+	d.gossip.Set(membership.Entry{Key: storeConcurrencyPrefix + service, Version: version, Value: []byte(strconv.Itoa(concurrency))})
 }
 
 // holder returns the address of a service's coordinator, empty if unknown.
@@ -109,7 +109,7 @@
 }
 
 // coordinates returns a service's coordinator on this daemon, or nil.
-func (d *Daemon) coordinates(service string) *coordinator.Coordinator {
+func (d *Daemon) localCoordinator(service string) *coordinator.Coordinator {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.coordinators[service]
@@ -131,21 +131,21 @@
 func (d *Daemon) stateAge() time.Duration { return d.view.StalenessBound() }
 
 // endpointState reports whether an endpoint is listed, and as leaving.
-func (d *Daemon) endpointState(life fleet.Incarnation) (listed, leaving bool) {
-	e := d.view.Endpoints().Find(life)
+func (d *Daemon) endpointState(incarnation fleet.Incarnation) (listed, leaving bool) {
+	e := d.view.Endpoints().Find(incarnation)
 	return e != nil, e != nil && e.Leaving
 }
 
 // endpointListed reports whether an endpoint is listed in some life.
-func (d *Daemon) endpointListed(life fleet.Incarnation) bool {
-	return d.view.Endpoints().Find(life) != nil
+func (d *Daemon) endpointListed(incarnation fleet.Incarnation) bool {
+	return d.view.Endpoints().Find(incarnation) != nil
 }
 
 // endpointReadyAt returns up to when an endpoint is known to be listed as one that stays; zero if
 // it is not. While nobody hears from the store that is now: it cannot have taken its word.
-func (d *Daemon) endpointReadyAt(life fleet.Incarnation) time.Time {
+func (d *Daemon) endpointLastReady(incarnation fleet.Incarnation) time.Time {
 	now := clock.Now()
-	e := d.view.Endpoints().Find(life)
+	e := d.view.Endpoints().Find(incarnation)
 	age := d.endpointsAge()
 	switch {
 	case e == nil || e.Leaving:
@@ -157,12 +157,12 @@
 }
 
 // engineSaid takes what an engine says of itself in an answer to this daemon's coordinators.
-func (d *Daemon) engineSaid(life fleet.Incarnation, says protocol.Backpressure) {
+func (d *Daemon) observeEngineAnswer(incarnation fleet.Incarnation, signals protocol.Backpressure) {
 	slots := 1
-	if e := d.view.Endpoints().Find(life); e != nil {
+	if e := d.view.Endpoints().Find(incarnation); e != nil {
 		slots = e.Slots
 	}
-	d.throttle.ObserveAnswer(throttle.Answer{Incarnation: life, Slots: slots, Sent: clock.Now(), Signals: says})
+	d.throttle.ObserveAnswer(throttle.Answer{Incarnation: incarnation, Slots: slots, Sent: clock.Now(), Signals: signals})
 }
 
 // staleFact reports whether a fact is too old to be kept.
@@ -201,7 +201,7 @@
 // estimated here, whoever says that it has none.
 func (d *Daemon) Want(ctx context.Context, service string, w residency.Want) residency.Answer {
 	w.Daemon = d.self
-	a := d.ask(ctx, service, w)
+	a := d.askCoordinator(ctx, service, w)
 	if a.Refused != residency.RefusedNoCoordinator {
 		d.vacancies.filled(service)
 		return a
@@ -212,19 +212,19 @@
 }
 
 // ask asks a service's coordinator.
-func (d *Daemon) ask(ctx context.Context, service string, w residency.Want) residency.Answer {
-	own := d.coordinates(service)
+func (d *Daemon) askCoordinator(ctx context.Context, service string, w residency.Want) residency.Answer {
+	local := d.localCoordinator(service)
 	address := d.holder(service)
-	if own != nil && (own.Holds() || address == "" || address == d.set.Listen.Peers) {
-		return own.Want(w)
+	if local != nil && (local.Holds() || address == "" || address == d.set.Listen.Peers) {
+		return local.Want(w)
 	}
-	if address == "" || d.holders.silent(address, time.Now()) {
+	if address == "" || d.holders.backingOff(address, time.Now()) {
 		return residency.Answer{Refused: residency.RefusedNoCoordinator}
 	}
 	caller := ctx
 	ctx, cancel := context.WithTimeout(ctx, wantTimeout)
 	defer cancel()
-	resp, err := d.fleet(address).Want(ctx, &fleetpb.WantRequest{Service: service, Model: w.Model, Adapter: w.Adapter, Rank: int32(w.Rank), Avoid: w.Avoid.ID, AvoidBorn: w.Avoid.StartUnixMs, Unreachable: w.Unreachable, Absent: w.MissingAt.ID, AbsentBorn: w.MissingAt.StartUnixMs, Daemon: w.Daemon, Full: livesToWire(w.Full)})
+	resp, err := d.fleet(address).Want(ctx, &fleetpb.WantRequest{Service: service, Model: w.Model, Adapter: w.Adapter, Rank: int32(w.Rank), Avoid: w.Avoid.ID, AvoidBorn: w.Avoid.StartUnixMs, Unreachable: w.Unreachable, Absent: w.MissingAt.ID, AbsentBorn: w.MissingAt.StartUnixMs, Daemon: w.Daemon, Full: incarnationsToWire(w.Full)})
 	if err != nil {
 		if caller.Err() == nil && d.holders.failed(address, time.Now()) {
 			d.log.Warn(decisions.EventDependencyLost, "dependency", "coordinator", "service", service, "holder", address, "error", err)
@@ -242,41 +242,41 @@
 
 // Want implements fleetpb.Fleet.
 func (s *fleetServer) Want(_ context.Context, req *fleetpb.WantRequest) (*fleetpb.WantResponse, error) {
-	c := (*Daemon)(s).coordinates(req.Service)
+	c := (*Daemon)(s).localCoordinator(req.Service)
 	if c == nil {
 		return &fleetpb.WantResponse{Refused: residency.RefusedNoCoordinator}, nil
 	}
 	a := c.Want(residency.Want{
 		Model: req.Model, Adapter: req.Adapter, Rank: int(req.Rank), Unreachable: req.Unreachable, Daemon: req.Daemon,
 		Avoid: fleet.Incarnation{ID: req.Avoid, StartUnixMs: req.AvoidBorn}, MissingAt: fleet.Incarnation{ID: req.Absent, StartUnixMs: req.AbsentBorn},
-		Full: livesFromWire(req.Full),
+		Full: incarnationsFromWire(req.Full),
 	})
 	return &fleetpb.WantResponse{Endpoint: a.Endpoint.ID, Born: a.Endpoint.StartUnixMs, ReadyInMs: ceilMs(a.ReadyIn), StartsInMs: ceilMs(a.StartsIn), Level: int32(a.Level), Refused: a.Refused}, nil
 }
 
-func livesToWire(list []fleet.Incarnation) []*fleetpb.Life {
+func incarnationsToWire(list []fleet.Incarnation) []*fleetpb.Life {
 	out := make([]*fleetpb.Life, len(list))
-	for i, life := range list {
-		out[i] = &fleetpb.Life{Endpoint: life.ID, Born: life.StartUnixMs}
+	for i, incarnation := range list {
+		out[i] = &fleetpb.Life{Endpoint: incarnation.ID, Born: incarnation.StartUnixMs}
 	}
 	return out
 }
 
-func livesFromWire(list []*fleetpb.Life) []fleet.Incarnation {
+func incarnationsFromWire(list []*fleetpb.Life) []fleet.Incarnation {
 	out := make([]fleet.Incarnation, len(list))
-	for i, life := range list {
-		out[i] = fleet.Incarnation{ID: life.Endpoint, StartUnixMs: life.Born}
+	for i, incarnation := range list {
+		out[i] = fleet.Incarnation{ID: incarnation.Endpoint, StartUnixMs: incarnation.Born}
 	}
 	return out
 }
 
 // endpointLimited brings the limit that an endpoint names to what chooses endpoints.
-func (d *Daemon) endpointLimited(life fleet.Incarnation, w limit.Report) {
-	d.throttle.SetLimit(life, w)
+func (d *Daemon) setEndpointLimit(incarnation fleet.Incarnation, report limit.Report) {
+	d.throttle.SetLimit(incarnation, report)
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, c := range d.coordinators {
-		c.SetLimit(life, w)
+		c.SetLimit(incarnation, report)
 	}
 }
 
--- a/daemon/edgedaemon/running.go
+++ b/daemon/edgedaemon/running.go
@@ -19,29 +19,29 @@
 // for the coordinator, whatever the number of daemons.
 
 // mostRunning is the largest count that is told; more is told as this.
-const mostRunning = 255
+const maxRunning = 255
 
 // packRunning encodes what runs at each endpoint, sorted by id.
 func packRunning(list []residency.Running) *fleetpb.DemandResponse {
 	counts := make([]byte, len(list))
-	name := xxhash.New()
+	hash := xxhash.New()
 	for i, r := range list {
-		counts[i] = byte(min(mostRunning, max(0, r.Requests)))
-		addLife(name, r.Endpoint)
+		counts[i] = byte(min(maxRunning, max(0, r.Requests)))
+		hashIncarnation(hash, r.Endpoint)
 	}
-	return &fleetpb.DemandResponse{Endpoints: name.Sum64(), Running: counts}
+	return &fleetpb.DemandResponse{Endpoints: hash.Sum64(), Running: counts}
 }
 
-func addLife(name *xxhash.Digest, life fleet.Incarnation) {
-	var born [8]byte
-	binary.LittleEndian.PutUint64(born[:], uint64(life.StartUnixMs))
-	_, _ = name.WriteString(life.ID) // never fails
-	_, _ = name.Write(born[:])       // never fails
+func hashIncarnation(hash *xxhash.Digest, incarnation fleet.Incarnation) {
+	var start [8]byte
+	binary.LittleEndian.PutUint64(start[:], uint64(incarnation.StartUnixMs))
+	_, _ = hash.WriteString(incarnation.ID) // never fails
+	_, _ = hash.Write(start[:])             // never fails
 }
 
 // listsKept is the number of lists of endpoints that are remembered: a coordinator may
 // be some changes ahead or behind.
-const listsKept = 8
+const maxLists = 8
 
 // endpointLists remembers lists of endpoints by their names. It is not safe for
 // concurrent use.
@@ -50,38 +50,38 @@
 }
 
 type endpointList struct {
-	name  uint64
-	lives []fleet.Incarnation
+	hash         uint64
+	incarnations []fleet.Incarnation
 }
 
 // running decodes what a coordinator tells, by the present list of endpoints, sorted by
 // id, or one of those before; nil if it is of none of them.
-func (l *endpointLists) running(present []*fleet.Endpoint, resp *fleetpb.DemandResponse) []residency.Running {
-	l.remember(present)
+func (l *endpointLists) unpackRunning(present []*fleet.Endpoint, resp *fleetpb.DemandResponse) []residency.Running {
+	l.add(present)
 	i := slices.IndexFunc(l.lists, func(e endpointList) bool {
-		return e.name == resp.Endpoints && len(e.lives) == len(resp.Running)
+		return e.hash == resp.Endpoints && len(e.incarnations) == len(resp.Running)
 	})
 	if i < 0 {
 		return nil
 	}
 	list := make([]residency.Running, len(resp.Running))
 	for at, n := range resp.Running {
-		list[at] = residency.Running{Endpoint: l.lists[i].lives[at], Requests: int(n)}
+		list[at] = residency.Running{Endpoint: l.lists[i].incarnations[at], Requests: int(n)}
 	}
 	return list
 }
 
-func (l *endpointLists) remember(present []*fleet.Endpoint) {
+func (l *endpointLists) add(present []*fleet.Endpoint) {
 	digest := xxhash.New()
-	lives := make([]fleet.Incarnation, len(present))
+	incarnations := make([]fleet.Incarnation, len(present))
 	for i, e := range present {
-		lives[i] = e.Incarnation()
-		addLife(digest, lives[i])
+		incarnations[i] = e.Incarnation()
+		hashIncarnation(digest, incarnations[i])
 	}
-	name := digest.Sum64()
-	l.lists = slices.DeleteFunc(l.lists, func(e endpointList) bool { return e.name == name })
-	l.lists = append(l.lists, endpointList{name, lives})
-	if len(l.lists) > listsKept {
+	hash := digest.Sum64()
+	l.lists = slices.DeleteFunc(l.lists, func(e endpointList) bool { return e.hash == hash })
+	l.lists = append(l.lists, endpointList{hash, incarnations})
+	if len(l.lists) > maxLists {
 		l.lists = slices.Delete(l.lists, 0, 1)
 	}
 }
@@ -89,7 +89,7 @@
 // toldRunning takes what runs at the endpoints of a service, with mine of it by this
 // daemon. What the others have told is half as old as the time between two of their
 // words, on average; alive is their number.
-func (d *Daemon) toldRunning(service string, list []residency.Running, mine balance.Running, alive int) {
+func (d *Daemon) receiveRunning(service string, list []residency.Running, mine balance.Running, alive int) {
 	if list == nil {
 		return
 	}
@@ -97,6 +97,6 @@
 	for _, r := range list {
 		all[r.Endpoint] = r.Requests
 	}
-	each := max(residency.DemandInterval, residency.DemandDelay(alive))
-	d.balancer.ReceiveRunning(service, clock.Now().Add(-each/2), all, mine)
+	interval := max(residency.DemandInterval, residency.DemandDelay(alive))
+	d.balancer.ReceiveRunning(service, clock.Now().Add(-interval/2), all, mine)
 }
--- a/daemon/edgedaemon/stop.go
+++ b/daemon/edgedaemon/stop.go
@@ -15,10 +15,10 @@
 const (
 	// lingerPart is the part of the grace period in which a stopping daemon
 	// still takes requests, since callers hold older answers of the directory.
-	lingerPart = 0.65
+	lingerShare = 0.65
 	// finishReserve is the end of the grace period that is kept for the exit
 	// itself.
-	finishReserve = 400 * time.Millisecond
+	exitReserve = 400 * time.Millisecond
 )
 
 // Stop begins the graceful shutdown. A lease that this daemon holds is kept and
@@ -26,7 +26,7 @@
 // lease back at once, where another host would have to leave a gap.
 func (d *Daemon) Stop() {
 	now := time.Now()
-	if !d.stopping.CompareAndSwap(nil, &now) {
+	if !d.stopStarted.CompareAndSwap(nil, &now) {
 		return
 	}
 	d.log.Info(decisions.EventStop, "daemon", d.self, "in_progress", d.callers.InProgress(), "grace_ms", d.set.Timing.Grace.D().Milliseconds())
@@ -42,22 +42,22 @@
 
 // ends returns when a stopping daemon ends what is in progress; zero while it
 // serves.
-func (d *Daemon) ends() time.Time {
-	since := d.stopping.Load()
+func (d *Daemon) deadline() time.Time {
+	since := d.stopStarted.Load()
 	if since == nil {
 		return time.Time{}
 	}
-	return since.Add(d.set.Timing.Grace.D() - finishReserve)
+	return since.Add(d.set.Timing.Grace.D() - exitReserve)
 }
 
-func (d *Daemon) draining() bool { return d.stopping.Load() != nil }
+func (d *Daemon) draining() bool { return d.stopStarted.Load() != nil }
 
 // Serving implements platform.Directory.
 func (d *Daemon) Serving() bool { return !d.draining() && d.view.Table() != nil }
 
 // localEnough is the number of daemons in a caller's failure domain from which
 // the others are left out.
-const localEnough = 2
+const minLocal = 2
 
 // Addresses implements platform.Directory: the daemons of the caller's failure
 // domain, or all where those are too few to bear the loss of one.
@@ -72,7 +72,7 @@
 			local = append(local, m.CallerAddress)
 		}
 	}
-	if len(local) >= localEnough {
+	if len(local) >= minLocal {
 		all = local
 	}
 	slices.Sort(all)
@@ -93,9 +93,9 @@
 		return nil
 	case <-d.stopped:
 	}
-	since := *d.stopping.Load()
-	pause.For(ctx, time.Until(since.Add(time.Duration(float64(d.set.Timing.Grace.D())*lingerPart))))
-	ctx, cancel := context.WithDeadline(ctx, d.ends())
+	since := *d.stopStarted.Load()
+	pause.For(ctx, time.Until(since.Add(time.Duration(float64(d.set.Timing.Grace.D())*lingerShare))))
+	ctx, cancel := context.WithDeadline(ctx, d.deadline())
 	defer cancel()
 	if err := d.callerServer.Shutdown(ctx); err != nil {
 		d.log.Warn("requests cut off at the end of the grace period", "in_progress", d.callers.InProgress(), "error", err)
--- a/daemon/edgedaemon/vacancy.go
+++ b/daemon/edgedaemon/vacancy.go
@@ -8,9 +8,9 @@
 const (
 	// storeReturns is the estimate of how long an outage of the store goes on
 	// that is noticed: half of those of the users' days last less.
-	storeReturns = 3 * time.Second
+	storeOutageEstimate = 3 * time.Second
 	// leastVacancy is the estimate for a vacancy that has outlasted a takeover.
-	leastVacancy = 500 * time.Millisecond
+	minVacancyEstimate = 500 * time.Millisecond
 )
 
 // vacancies remembers since when services are without a coordinator, to tell
@@ -27,21 +27,21 @@
 // readyIn records that a service has no coordinator, and returns how long that
 // is expected to go on. storeAway says that nobody hears the store; where it only
 // turns this daemon away, another one takes over.
-func (v *vacancies) readyIn(now time.Time, service string, storeAway bool) time.Duration {
+func (v *vacancies) readyIn(now time.Time, service string, storeOutage bool) time.Duration {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.since == nil {
 		v.since = map[string]time.Time{}
 	}
 	since, ok := v.since[service]
-	if !ok || storeAway {
+	if !ok || storeOutage {
 		// Without the store nobody can take over: that begins with its return.
 		v.since[service], since = now, now
 	}
-	if storeAway {
-		return storeReturns
+	if storeOutage {
+		return storeOutageEstimate
 	}
-	return max(leastVacancy, v.takeover-now.Sub(since))
+	return max(minVacancyEstimate, v.takeover-now.Sub(since))
 }
 
 // filled records that a service has a coordinator.
