--- a/daemon/edgedaemon/daemon.go
+++ b/daemon/edgedaemon/daemon.go
@@ -1,5 +1,5 @@
-// Package edgedaemon puts the parts of one doorvalved process together that
-// takes its desired state and endpoints from the platform's store.
+// Package edgedaemon assembles a doorvalved process that reads its desired
+// state and its endpoints from the platform's store.
 package edgedaemon
 
 import (
@@ -50,35 +50,40 @@
 )
 
 const (
-	// engineTimeout bounds each order and report: engines are a millisecond
-	// away and answer at once.
+	// engineTimeout bounds each order to an engine and each report that it
+	// returns: engines are a millisecond away and answer at once.
 	engineTimeout = 300 * time.Millisecond
-	// metricsEvery is how often counters are handed to the reporter.
+	// metricsInterval is how often metrics are passed to the reporter.
 	metricsInterval = 5 * time.Second
-	// retryPart keeps the daemons together below the bound on retries, since
-	// each knows only its own requests.
+	// retryShare is the share of the allowed retries that daemons use. The
+	// margin keeps all daemons together below the bound, since each one counts
+	// only its own requests.
 	retryShare = 0.85
-	// memoryPart is the part of the memory limit at which the collector works
-	// harder; the rest is for what it does not count.
+	// memoryShare is the share of the process's memory limit that is set as
+	// the soft limit of the garbage collector. The rest is for memory that the
+	// collector does not count.
 	memoryShare = 0.6
-	// collectAt is the growth of the heap, in percent, between two
-	// collections.
+	// gcPercent is the growth of the heap, in percent, that starts the next
+	// garbage collection.
 	gcPercent = 100
-	// flushPart is the part of the time that an event may take through the
-	// daemon for which events are gathered.
+	// flushShare is the share of the time that a stream's event may take
+	// through the daemon (settings: timing.pass) for which events are buffered
+	// before they are written.
 	flushShare = 0.4
-	// requestsPerDescriptor: a request needs one connection to its caller and
-	// one to its endpoint, beside those that are idle.
+	// requestsPerDescriptor is the number of requests accepted at once for each
+	// file descriptor: a request needs a connection to its caller and one to its
+	// endpoint, and idle connections take descriptors too.
 	requestsPerDescriptor = 0.3
 )
 
-// Daemon is one process.
+// Daemon is one doorvalved process.
 type Daemon struct {
 	set   settings.Edge
 	log   *decisions.Log
 	self  string
 	store *platform.Store
-	// generations keeps the highest generation of the store that was heard of.
+	// generations tracks the highest generation of the store that this daemon
+	// has received, from the store or from peers.
 	generations *generations.Tracker
 	view        *storeview.View
 	gossip      *gossip.Gossip
@@ -95,24 +100,25 @@
 	engines     *platform.EngineClient
 
 	listeners listeners
-	// callerServer is shut down gracefully; the others end with the process.
+	// callerServer is shut down gracefully; the other servers are closed when
+	// Run returns.
 	callerServer *http.Server
 
 	mu           sync.Mutex
 	coordinators map[string]*coordinator.Coordinator
 	fleets       *peers.Clients[fleetpb.Fleet]
 	runCtx       context.Context
-	stopStarted  atomic.Pointer[time.Time] // when the stop began; nil while serving
-	stopped      chan struct{}             // closed then
-	lastSent     map[string]int
-	lists        endpointLists // only runDemand uses them
+	stopStarted  atomic.Pointer[time.Time] // when the shutdown began; nil before that
+	stopped      chan struct{}             // closed when the shutdown begins
+	lastSent     map[string]int            // active models in the last demand message, by service; only runDemand uses it
+	lists        endpointLists             // only runDemand uses it
 	holders      holderHealth
 	vacancies    vacancies
 }
 
 type listeners struct{ callers, directory, readiness, peers, metrics net.Listener }
 
-// New returns a daemon with its listeners open.
+// New returns a daemon with its listeners open. Run serves them.
 func New(set settings.Edge, log *decisions.Log) (*Daemon, error) {
 	debug.SetGCPercent(gcPercent)
 	debug.SetMemoryLimit(int64(float64(set.Limits.MemoryMB<<20) * memoryShare))
@@ -195,8 +201,9 @@
 	return membership.Member{ID: d.self, Host: d.set.Host, FailureDomain: d.set.FailureDomain, CallerAddress: d.set.Listen.Callers, PeerAddress: d.set.Listen.Peers, Capacity: d.set.Limits.Capacity()}
 }
 
-// seeds returns the peers to join by: those of the settings and the holders of
-// the leases that were read.
+// seeds returns the addresses of the peers through which to join the
+// membership: the seeds of the settings and the holders of the leases that this
+// daemon has read.
 func (d *Daemon) seeds(context.Context) []string {
 	list := append([]string(nil), d.set.Peers.Seeds...)
 	d.mu.Lock()
@@ -209,7 +216,8 @@
 	return list
 }
 
-// changed brings a new desired state or new endpoints to the coordinators.
+// applyView passes a changed desired state and endpoint view to the balancer
+// and to the coordinators.
 func (d *Daemon) applyView() {
 	table, view := d.view.Table(), d.view.Endpoints()
 	d.balancer.Retain(view)
@@ -227,16 +235,17 @@
 	}
 }
 
-// announceState tells the others, once, that this daemon has a desired state
-// and so can serve. Later versions are not told: each would send an entry of
-// every member to every member.
+// announceState publishes, once, that this daemon has a desired state and can
+// serve. Later versions are not published: each one would send a record of every
+// member to every other member.
 func (d *Daemon) announceState(version uint64) {
 	if d.gossip.Self().Generation == 0 {
 		d.gossip.Update(func(m *membership.Member) { m.Generation = version })
 	}
 }
 
-// coordinatorFor returns a service's coordinator.
+// coordinatorFor returns this daemon's coordinator of a service, and creates it
+// on first use.
 func (d *Daemon) coordinatorFor(service string) *coordinator.Coordinator {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -259,13 +268,14 @@
 	return c
 }
 
-// errStopped ends the run group after a complete shutdown.
+// errStopped ends the run group after a graceful shutdown.
 var errStopped = errors.New("shutdown complete")
 
-// IsStopped reports whether err is the end of a graceful shutdown.
+// IsStopped reports whether err, returned by Run, means that a graceful shutdown
+// is complete.
 func IsStopped(err error) bool { return errors.Is(err, errStopped) }
 
-// Run serves until the shutdown is complete or ctx ends.
+// Run serves until a graceful shutdown is complete or ctx ends.
 func (d *Daemon) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -295,16 +305,16 @@
 }
 
 const (
-	// callerHeaderTimeout bounds the reading of a request's header.
+	// callerHeaderTimeout bounds the time to read a request's header.
 	callerHeaderTimeout = 5 * time.Second
-	// callerIdleTimeout is how long an idle connection of a caller is kept,
-	// longer than callers are told to keep theirs.
+	// callerIdleTimeout is how long an idle connection of a caller is kept:
+	// longer than callers are told to keep theirs, so that the callers close them.
 	callerIdleTimeout = 75 * time.Second
-	// maxHeaderBytes bounds a request's header.
+	// maxHeaderBytes bounds the size of a request's header.
 	maxHeaderBytes = 32 << 10
 )
 
-// addServer adds an actor that serves a listener.
+// addServer adds an actor to g that serves a listener.
 func (d *Daemon) addServer(g *run.Group, l net.Listener, h http.Handler) *http.Server {
 	srv := &http.Server{
 		Handler: h, MaxHeaderBytes: maxHeaderBytes, ReadHeaderTimeout: callerHeaderTimeout, IdleTimeout: callerIdleTimeout,
@@ -316,8 +326,9 @@
 		if !errors.Is(err, http.ErrServerClosed) {
 			return err
 		}
-		// A graceful shutdown ends Serve at once; the group must go on until
-		// the requests in progress are finished.
+		// Serve returns as soon as a graceful shutdown begins. This actor must
+		// not end then, since that would end the group while requests are in
+		// progress.
 		<-interrupted
 		return nil
 	}, func(error) {
@@ -327,7 +338,7 @@
 	return srv
 }
 
-// peerHandler serves the other daemons.
+// peerHandler returns the handler of requests from other daemons.
 func (d *Daemon) peerHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle(fleetpb.FleetPathPrefix, fleetpb.NewFleetServer((*fleetServer)(d)))
--- a/daemon/edgedaemon/daemon_test.go
+++ b/daemon/edgedaemon/daemon_test.go
@@ -12,8 +12,9 @@
 	"github.com/doorvalve/doorvalve/state/bundle"
 )
 
-// A new version of the desired state is no news about the daemon: told to all,
-// it would cost each daemon bytes that grow with the number of daemons.
+// Only the first desired state changes a daemon's gossiped record. If each new
+// version did, the bytes that each daemon sends would grow with the number of
+// daemons.
 func TestNewVersionsAreNotGossiped(t *testing.T) {
 	log := decisions.New(io.Discard, "test", hclog.Off)
 	defer log.Close()
@@ -31,10 +32,10 @@
 	d.announceState(5)
 	serving := d.gossip.Self()
 	if serving.Generation == 0 || serving.Incarnation == before {
-		t.Fatal("the others were not told that this daemon serves")
+		t.Fatal("the first desired state was not published")
 	}
 	d.announceState(9)
 	if d.gossip.Self().Incarnation != serving.Incarnation {
-		t.Fatal("the others were told of a new version")
+		t.Fatal("a later version of the desired state was published")
 	}
 }
--- a/daemon/edgedaemon/demand.go
+++ b/daemon/edgedaemon/demand.go
@@ -9,7 +9,9 @@
 	"github.com/doorvalve/doorvalve/state/fleet"
 )
 
-// runDemand tells the coordinators of this daemon's requests, until ctx ends.
+// runDemand sends this daemon's demand to the coordinators of its services until
+// ctx ends. It also keeps the retry budget and the balancer informed of the number
+// of daemons.
 func (d *Daemon) runDemand(ctx context.Context) error {
 	alive := len(d.alive())
 	var demandTimer residency.DemandTimer
@@ -37,18 +39,20 @@
 	}
 }
 
-// leastSharing is the number of daemons that are taken to share the retries
-// until more are known: a daemon that has just started, or is cut off, must not
-// take them all.
+// minSharing is the least number of daemons assumed to share the allowed
+// retries: a daemon that has just started, or is partitioned, sees few others
+// and must not use all retries itself.
 const minSharing = 6
 
-// shareRetries takes this daemon's part of the retries that all may make.
+// shareRetries sets the burst of the retry budget to this daemon's share of the
+// retries that all daemons together may make.
 func (d *Daemon) shareRetries(alive int) {
 	d.budget.SetBurst(max(1, d.set.Retries.Extra*retryShare/float64(max(minSharing, alive))))
 }
 
-// tellDemand tells a service's coordinator of this daemon's requests, and takes its word
-// on those of all. alive is the number of daemons.
+// sendDemand sends this daemon's demand to a service's coordinator and applies the answer:
+// the number of requests that all daemons have at each endpoint. alive is the number of
+// daemons. Without requests, now and in the last message, it sends nothing.
 func (d *Daemon) sendDemand(ctx context.Context, service string, demand residency.Demand, alive int) {
 	if len(demand.Active) == 0 && d.lastSent[service] == 0 {
 		return
@@ -80,7 +84,7 @@
 	defer cancel()
 	resp, err := d.fleet(address).Demand(ctx, req)
 	if err != nil {
-		d.log.Debug("demand not told", "service", service, "holder", address, "error", err)
+		d.log.Debug("demand message failed", "service", service, "holder", address, "error", err)
 		return
 	}
 	d.receiveRunning(service, d.lists.unpackRunning(d.view.Endpoints().ByService[service], resp), mine, alive)
--- a/daemon/edgedaemon/holders.go
+++ b/daemon/edgedaemon/holders.go
@@ -5,28 +5,30 @@
 	"time"
 )
 
-// silentPause is how long a coordinator that did not answer is not asked
-// again, so that requests do not all wait for it.
+// holderBackoff is how long no request is sent to a coordinator that did not
+// answer, so that not every caller's request waits for its time-out.
 const holderBackoff = 400 * time.Millisecond
 
-// maxHolders bounds the memory of coordinators that did not answer.
+// maxHolders bounds the number of recorded coordinators.
 const maxHolders = 64
 
-// holderHealth remembers which coordinators did not answer.
+// holderHealth records which coordinators did not answer. The zero value is
+// ready to use. It is safe for concurrent use.
 type holderHealth struct {
 	mu    sync.Mutex
-	until map[string]time.Time // by address; not asked before then
+	until map[string]time.Time // end of the back-off, by address
 }
 
-// silent reports whether a coordinator has just not answered.
+// backingOff reports whether a coordinator failed to answer less than
+// holderBackoff ago.
 func (h *holderHealth) backingOff(address string, now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return now.Before(h.until[address])
 }
 
-// failed records that a coordinator did not answer, and reports whether it is
-// news.
+// failed records that a coordinator did not answer, and reports whether it had
+// answered before.
 func (h *holderHealth) failed(address string, now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -38,8 +40,8 @@
 	return !known
 }
 
-// answered records that a coordinator has answered, and reports whether that
-// is news.
+// answered records that a coordinator has answered, and reports whether it had
+// failed before.
 func (h *holderHealth) answered(address string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/daemon/edgedaemon/leases.go
+++ b/daemon/edgedaemon/leases.go
@@ -9,8 +9,8 @@
 	"github.com/doorvalve/doorvalve/protocol/fleetpb"
 )
 
-// leasePeers returns some of the other daemons, at random, as ways to the
-// store.
+// leasePeers returns up to limit other daemons, chosen at random, through which
+// leases can be read and written when the store does not answer this daemon.
 func (d *Daemon) leasePeers(limit int) []leaserelay.Peer {
 	members := d.alive()
 	rand.Shuffle(len(members), func(i, j int) { members[i], members[j] = members[j], members[i] })
@@ -23,13 +23,14 @@
 	return list
 }
 
-// leaseServer reads and writes leases for other daemons.
+// leaseServer returns a server that reads and writes leases in the store for
+// other daemons.
 func (d *Daemon) leaseServer() leaserelay.Server {
 	return leaserelay.Server{Store: d.store, Generations: d.generations}
 }
 
-// leaseHeard returns what this daemon has heard of the store's generation and of the fences of a
-// service's lease.
+// leasePeerState returns the highest generation of the store and the highest fence of a service's
+// lease that this daemon has received from peers.
 func (d *Daemon) leasePeerState(service string) lease.PeerState {
 	state := lease.PeerState{Generation: d.generations.Highest()}
 	if e, ok := d.gossip.Get(holderPrefix + service); ok {
--- a/daemon/edgedaemon/metrics.go
+++ b/daemon/edgedaemon/metrics.go
@@ -9,7 +9,7 @@
 	"github.com/doorvalve/doorvalve/coordination/relay"
 )
 
-// gauges tell how the daemon stands; they are set each metricsEvery.
+// gauges report the daemon's present state. They are updated every metricsInterval.
 type gauges struct {
 	endpointsAge, desiredAge, desiredVersion, endpoints, unusable, inProgress, members, linesLost, linesSkipped tally.Gauge
 }
@@ -23,7 +23,7 @@
 	}
 }
 
-// runGauges sets the gauges until ctx ends.
+// runGauges updates the gauges until ctx ends.
 func (d *Daemon) runGauges(ctx context.Context) error {
 	g := newGauges(d.metrics)
 	t := time.NewTicker(metricsInterval)
@@ -53,5 +53,5 @@
 	g.linesSkipped.Update(float64(skipped))
 }
 
-// endpointsAge returns how old what is believed of the endpoints may be.
+// endpointsAge returns the greatest possible age of the local view of the endpoints.
 func (d *Daemon) endpointsAge() time.Duration { return d.view.Age(relay.Endpoints) }
--- a/daemon/edgedaemon/peers.go
+++ b/daemon/edgedaemon/peers.go
@@ -26,15 +26,16 @@
 	"github.com/doorvalve/doorvalve/state/workspace"
 )
 
-// holderPrefix starts the keys of the facts that name a service's coordinator.
+// holderPrefix is the prefix of the keys of gossiped facts that name a service's coordinator.
 const holderPrefix = "holder/"
 
-// candidates is the number of daemons that try to take a vacant lease: one
-// more than needed, and few enough that the reads cost little.
+// candidates is the number of daemons that try to take a vacant lease: one more
+// than needed, so that one may fail, and few enough that their reads of the lease
+// cost little.
 const candidates = 2
 
 // candidate reports whether this daemon should try to hold a service's lease. A
-// former holder should, whatever the others: it is the same one to engines.
+// former holder should in any case, since engines take it for the same holder.
 func (d *Daemon) candidate(service string, former bool) bool {
 	if d.draining() || d.view.StoreUnresponsive(clock.Now()) {
 		return false
@@ -51,7 +52,8 @@
 	return false
 }
 
-// alive returns the members that take part, this daemon among them.
+// alive returns the members that are alive and not leaving, including this
+// daemon.
 func (d *Daemon) alive() []membership.Member {
 	var list []membership.Member
 	for _, m := range d.gossip.Members() {
@@ -62,22 +64,24 @@
 	return list
 }
 
-// holderChanged tells the other daemons who coordinates a service.
+// publishHolder publishes that this daemon coordinates a service, if held is
+// true. The loss of a lease is not published.
 func (d *Daemon) publishHolder(service string, fence uint64, held bool) {
 	if held {
 		d.gossip.Set(membership.Entry{Key: holderPrefix + service, Version: fence, Value: []byte(d.set.Listen.Peers)})
 	}
 }
 
-// placesPrefix starts the keys of the facts that tell how many loads at once a service's
-// weight store was learned to serve.
+// storeConcurrencyPrefix is the prefix of the keys of gossiped facts that hold how many
+// concurrent loads a service's weight store can serve, as its coordinators have learned.
 const storeConcurrencyPrefix = "store-places/"
 
-// placesChanges is the number of changes that a coordinator can tell under one fence.
+// storeConcurrencyVersions is the number of fact versions under one fence: a coordinator can
+// publish that many changes before its versions reach those of the next fence.
 const storeConcurrencyVersions = 1 << 20
 
-// storePlaces returns what coordinators have learned of a service's weight store; zero
-// if that is nothing.
+// storeConcurrency returns how many concurrent loads a service's weight store can serve, as
+// published by its coordinators; zero if nothing has been published.
 func (d *Daemon) storeConcurrency(service string) int {
 	e, ok := d.gossip.Get(storeConcurrencyPrefix + service)
 	if !ok {
@@ -91,7 +95,8 @@
 	return concurrency
 }
 
-// storePlacesLearned tells the other daemons, one of which coordinates next.
+// publishStoreConcurrency publishes a learned store concurrency to the other daemons, one of
+// which will be the next coordinator.
 func (d *Daemon) publishStoreConcurrency(service string, fence uint64, concurrency int) {
 	version := fence * storeConcurrencyVersions
 	if e, ok := d.gossip.Get(storeConcurrencyPrefix + service); ok {
@@ -100,7 +105,7 @@
 	d.gossip.Set(membership.Entry{Key: storeConcurrencyPrefix + service, Version: version, Value: []byte(strconv.Itoa(concurrency))})
 }
 
-// holder returns the address of a service's coordinator, empty if unknown.
+// holder returns the peer address of a service's coordinator, empty if unknown.
 func (d *Daemon) holder(service string) string {
 	if e, ok := d.gossip.Get(holderPrefix + service); ok {
 		return string(e.Value)
@@ -108,17 +113,19 @@
 	return ""
 }
 
-// coordinates returns a service's coordinator on this daemon, or nil.
+// localCoordinator returns this daemon's coordinator of a service, or nil. It
+// may not hold the lease.
 func (d *Daemon) localCoordinator(service string) *coordinator.Coordinator {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.coordinators[service]
 }
 
-// fleet returns the client of another daemon's part of the fleet.
+// fleet returns the client of the Fleet service of the daemon at address.
 func (d *Daemon) fleet(address string) fleetpb.Fleet { return d.fleets.To(address) }
 
-// workspaces returns the newest workspaces and the version that they are of.
+// workspaces returns the newest workspaces and the version of the desired state
+// that holds them.
 func (d *Daemon) workspaces() (*workspace.Directory, uint64) {
 	table := d.view.Table()
 	if table == nil {
@@ -127,22 +134,24 @@
 	return table.Workspaces, table.Version
 }
 
-// stateAge returns how old the desired state in force may be.
+// stateAge returns the greatest possible age of the desired state in force.
 func (d *Daemon) stateAge() time.Duration { return d.view.StalenessBound() }
 
-// endpointState reports whether an endpoint is listed, and as leaving.
+// endpointState reports whether an endpoint is listed, and whether it is listed
+// as leaving.
 func (d *Daemon) endpointState(incarnation fleet.Incarnation) (listed, leaving bool) {
 	e := d.view.Endpoints().Find(incarnation)
 	return e != nil, e != nil && e.Leaving
 }
 
-// endpointListed reports whether an endpoint is listed in some life.
+// endpointListed reports whether this incarnation of an endpoint is listed.
 func (d *Daemon) endpointListed(incarnation fleet.Incarnation) bool {
 	return d.view.Endpoints().Find(incarnation) != nil
 }
 
-// endpointReadyAt returns up to when an endpoint is known to be listed as one that stays; zero if
-// it is not. While nobody hears from the store that is now: it cannot have taken its word.
+// endpointLastReady returns the latest time at which an endpoint is known to have been listed as
+// not leaving; zero if it is not listed so. During an outage of the store that is the present
+// time, since the store cannot have accepted the endpoint's announcement that it leaves.
 func (d *Daemon) endpointLastReady(incarnation fleet.Incarnation) time.Time {
 	now := clock.Now()
 	e := d.view.Endpoints().Find(incarnation)
@@ -156,7 +165,8 @@
 	return now.Add(-age)
 }
 
-// engineSaid takes what an engine says of itself in an answer to this daemon's coordinators.
+// observeEngineAnswer processes the backpressure signals in an engine's answer to one of this
+// daemon's coordinators.
 func (d *Daemon) observeEngineAnswer(incarnation fleet.Incarnation, signals protocol.Backpressure) {
 	slots := 1
 	if e := d.view.Endpoints().Find(incarnation); e != nil {
@@ -165,12 +175,12 @@
 	d.throttle.ObserveAnswer(throttle.Answer{Incarnation: incarnation, Slots: slots, Sent: clock.Now(), Signals: signals})
 }
 
-// staleFact reports whether a fact is too old to be kept.
+// staleFact reports whether a gossiped fact is too old to be kept.
 func staleFact(now time.Time, f membership.Entry) bool {
 	return quotas.StaleFact(now, f) || throttle.StaleFact(now, f)
 }
 
-// anyPeer returns a random other daemon, or nil.
+// anyPeer returns the client of another daemon, chosen at random, or nil if there is none.
 func (d *Daemon) anyPeer() fleetpb.Fleet {
 	var others []string
 	for _, m := range d.alive() {
@@ -184,8 +194,8 @@
 	return d.fleet(others[rand.IntN(len(others))])
 }
 
-// upstreams reports whether this daemon follows the store itself, and returns
-// the daemons to take from otherwise, the best first.
+// upstreams reports whether this daemon is a watcher, which follows the store
+// itself. If not, it returns the upstreams to copy from, the best first.
 func (d *Daemon) upstreams() (watches bool, order []fleetpb.Fleet) {
 	watches, members := relay.Upstreams(d.member(), d.alive())
 	for _, m := range members {
@@ -194,11 +204,11 @@
 	return watches, order
 }
 
-// wantTimeout bounds a question to the coordinator, which answers from memory.
+// wantTimeout bounds a call to a coordinator, which answers from memory.
 const wantTimeout = 300 * time.Millisecond
 
-// Want implements edge.Locator. How long a service is without a coordinator is
-// estimated here, whoever says that it has none.
+// Want implements edge.Locator. If the service has no coordinator, ReadyIn of the
+// answer is estimated here, whether this daemon or a peer refused for that reason.
 func (d *Daemon) Want(ctx context.Context, service string, w residency.Want) residency.Answer {
 	w.Daemon = d.self
 	a := d.askCoordinator(ctx, service, w)
@@ -211,7 +221,7 @@
 	return a
 }
 
-// ask asks a service's coordinator.
+// askCoordinator calls a service's coordinator, which may run on this daemon.
 func (d *Daemon) askCoordinator(ctx context.Context, service string, w residency.Want) residency.Answer {
 	local := d.localCoordinator(service)
 	address := d.holder(service)
@@ -237,7 +247,7 @@
 	return residency.Answer{Endpoint: fleet.Incarnation{ID: resp.Endpoint, StartUnixMs: resp.Born}, ReadyIn: time.Duration(resp.ReadyInMs) * time.Millisecond, StartsIn: time.Duration(resp.StartsInMs) * time.Millisecond, Level: residency.Level(resp.Level), Refused: resp.Refused}
 }
 
-// fleetServer serves fleetpb.Fleet.
+// fleetServer implements fleetpb.Fleet.
 type fleetServer Daemon
 
 // Want implements fleetpb.Fleet.
@@ -270,7 +280,8 @@
 	return out
 }
 
-// endpointLimited brings the limit that an endpoint names to what chooses endpoints.
+// setEndpointLimit passes a rate limit that an endpoint has reported to the throttle and to the
+// coordinators, which choose endpoints.
 func (d *Daemon) setEndpointLimit(incarnation fleet.Incarnation, report limit.Report) {
 	d.throttle.SetLimit(incarnation, report)
 	d.mu.Lock()
@@ -280,7 +291,7 @@
 	}
 }
 
-// ceilMs rounds up, so that a wait is never told too short.
+// ceilMs returns d in milliseconds, rounded up so that a reported wait is never too short.
 func ceilMs(d time.Duration) int64 { return int64((d + time.Millisecond - 1) / time.Millisecond) }
 
 // Follow implements fleetpb.Fleet.
@@ -288,7 +299,8 @@
 	return s.view.Follow(ctx, req)
 }
 
-// gossipServer serves the part of peerpb.Peer that these daemons use.
+// gossipServer implements the methods of peerpb.Peer that edge daemons use. The
+// others return errUnused.
 type gossipServer struct {
 	peerpb.Peer
 	gossip *gossip.Gossip
@@ -304,7 +316,7 @@
 	return s.gossip.HandleProbe(ctx, req), nil
 }
 
-// errUnused answers calls that these daemons do not make.
+// errUnused is returned by methods that edge daemons do not call.
 var errUnused = twirp.WrapError(twirp.NewError(twirp.Unimplemented, "not served here"), errors.New("edge daemon"))
 
 // Fetch implements peerpb.Peer.
--- a/daemon/edgedaemon/running.go
+++ b/daemon/edgedaemon/running.go
@@ -13,15 +13,17 @@
 	"github.com/doorvalve/doorvalve/state/fleet"
 )
 
-// What runs at each endpoint goes to all daemons several times a second: a byte for each
-// endpoint, in the order of their ids, beside a name of that list. Both sides have the
-// list from the store. At 600 endpoints and residency.TellSoon, that is 0.2 MB a second
-// for the coordinator, whatever the number of daemons.
+// A coordinator sends the number of requests at each endpoint to all daemons several times
+// a second. The message has one byte for each endpoint, in the order of their ids, and a
+// hash of that list of endpoints. Both sides have the list from the store. With 600
+// endpoints and the interval of residency.DemandDelay, the coordinator sends 0.2 MB a
+// second, whatever the number of daemons.
 
-// mostRunning is the largest count that is told; more is told as this.
+// maxRunning is the largest count that a message can hold; larger counts are sent as
+// maxRunning.
 const maxRunning = 255
 
-// packRunning encodes what runs at each endpoint, sorted by id.
+// packRunning encodes the number of requests at each endpoint. list must be sorted by id.
 func packRunning(list []residency.Running) *fleetpb.DemandResponse {
 	counts := make([]byte, len(list))
 	hash := xxhash.New()
@@ -39,12 +41,12 @@
 	_, _ = hash.Write(start[:])             // never fails
 }
 
-// listsKept is the number of lists of endpoints that are remembered: a coordinator may
-// be some changes ahead or behind.
+// maxLists is the number of endpoint lists that are kept: the coordinator's list may be some
+// changes newer or older than this daemon's.
 const maxLists = 8
 
-// endpointLists remembers lists of endpoints by their names. It is not safe for
-// concurrent use.
+// endpointLists holds the latest endpoint lists with their hashes. The zero value is
+// ready to use. It is not safe for concurrent use.
 type endpointLists struct {
 	lists []endpointList // newest last
 }
@@ -54,8 +56,9 @@
 	incarnations []fleet.Incarnation
 }
 
-// running decodes what a coordinator tells, by the present list of endpoints, sorted by
-// id, or one of those before; nil if it is of none of them.
+// unpackRunning decodes a coordinator's message with the endpoint list that it was encoded
+// with: present, which must be sorted by id, or an earlier list. It returns nil if that list
+// is not known here.
 func (l *endpointLists) unpackRunning(present []*fleet.Endpoint, resp *fleetpb.DemandResponse) []residency.Running {
 	l.add(present)
 	i := slices.IndexFunc(l.lists, func(e endpointList) bool {
@@ -86,9 +89,10 @@
 	}
 }
 
-// toldRunning takes what runs at the endpoints of a service, with mine of it by this
-// daemon. What the others have told is half as old as the time between two of their
-// words, on average; alive is their number.
+// receiveRunning passes the number of requests at the endpoints of a service to the balancer.
+// mine is this daemon's part of them. The counts that the coordinator has of each daemon are
+// on average half a reporting interval old; alive, the number of daemons, determines that
+// interval.
 func (d *Daemon) receiveRunning(service string, list []residency.Running, mine balance.Running, alive int) {
 	if list == nil {
 		return
--- a/daemon/edgedaemon/running_test.go
+++ b/daemon/edgedaemon/running_test.go
@@ -19,46 +19,45 @@
 	return list, running
 }
 
-// What runs at each endpoint is told by their order in a list that both sides know; a
-// daemon that is some changes ahead or behind still reads it, and what is of a list that it
-// never knew says nothing.
+// The counts of a message refer to a list of endpoints that both sides hold. A daemon whose
+// list has changed since still decodes the message; a message of an unknown list, or of a
+// wrong length, is discarded.
 func TestRunningIsDecodedByKnownEndpointLists(t *testing.T) {
 	present, running := endpointsStartedAt(1000, 200)
 	var lists endpointLists
 	if got := lists.unpackRunning(present, packRunning(running)); !reflect.DeepEqual(got, running) {
-		t.Fatalf("%v", got)
+		t.Fatalf("decoded %v", got)
 	}
 	restarted, other := endpointsStartedAt(2000, 200)
 	if got := lists.unpackRunning(restarted, packRunning(running)); !reflect.DeepEqual(got, running) {
-		t.Fatal("the list before is not known any more")
+		t.Fatal("a message of the previous list was not decoded")
 	}
 	if got := lists.unpackRunning(restarted, packRunning(other)); !reflect.DeepEqual(got, other) {
-		t.Fatal("the present list is not known")
+		t.Fatal("a message of the present list was not decoded")
 	}
 	_, unknown := endpointsStartedAt(3000, 200)
 	if got := lists.unpackRunning(restarted, packRunning(unknown)); got != nil {
-		t.Fatalf("a list that was never known was read: %v", got)
+		t.Fatalf("a message of an unknown list was decoded: %v", got)
 	}
 	for _, bad := range []*fleetpb.DemandResponse{{}, {Running: make([]byte, 3)}, {Endpoints: packRunning(other).Endpoints, Running: make([]byte, 199)}} {
 		if got := lists.unpackRunning(restarted, bad); got != nil {
-			t.Fatalf("%v was read as %v", bad, got)
+			t.Fatalf("malformed message %v was decoded as %v", bad, got)
 		}
 	}
 	if len(lists.lists) > maxLists {
-		t.Fatalf("%d lists are kept", len(lists.lists))
+		t.Fatalf("%d lists are kept, more than the maximum", len(lists.lists))
 	}
 }
 
-// A word on 600 endpoints takes less than a kilobyte, and counts beyond a byte are told as
-// the most.
+// A message for 600 endpoints takes at most a kilobyte, and counts above 255 are sent as 255.
 func TestPackedRunningIsSmall(t *testing.T) {
 	list, running := endpointsStartedAt(1000, 600)
 	resp := packRunning(running)
 	if n := len(resp.Running); n > 1024 {
-		t.Fatalf("%d bytes", n)
+		t.Fatalf("message takes %d bytes, want at most 1024", n)
 	}
 	var lists endpointLists
 	if got := lists.unpackRunning(list, resp); got[599].Requests != maxRunning || got[17].Requests != 17 {
-		t.Fatalf("%v, %v", got[599], got[17])
+		t.Fatalf("decoded %v and %v", got[599], got[17])
 	}
 }
--- a/daemon/edgedaemon/stop.go
+++ b/daemon/edgedaemon/stop.go
@@ -13,17 +13,19 @@
 )
 
 const (
-	// lingerPart is the part of the grace period in which a stopping daemon
-	// still takes requests, since callers hold older answers of the directory.
+	// lingerShare is the share of the grace period in which a stopping daemon
+	// still accepts requests, since callers use cached answers of the directory.
 	lingerShare = 0.65
-	// finishReserve is the end of the grace period that is kept for the exit
-	// itself.
+	// exitReserve is the last part of the grace period, reserved for the exit of
+	// the process after the requests in progress have ended.
 	exitReserve = 400 * time.Millisecond
 )
 
-// Stop begins the graceful shutdown. A lease that this daemon holds is kept and
-// lapses with the process: until then it coordinates, and its restart takes the
-// lease back at once, where another host would have to leave a gap.
+// Stop begins the graceful shutdown; further calls do nothing. A lease that this
+// daemon holds is not released but expires after the process has ended. Until
+// then the daemon coordinates, and after a restart it takes the lease back at
+// once, whereas a daemon on another host would have to leave a gap between the
+// orders of the two holders.
 func (d *Daemon) Stop() {
 	now := time.Now()
 	if !d.stopStarted.CompareAndSwap(nil, &now) {
@@ -34,14 +36,14 @@
 	close(d.stopped)
 }
 
-// Reload takes settings that have changed. Addresses stay until the next
-// start.
+// Reload logs that the settings have changed. The daemon keeps those it was started
+// with, among them its addresses, until the next start.
 func (d *Daemon) Reload(set settings.Edge) {
 	d.log.Info(decisions.EventReload, "daemon", d.self, "retry_extra", set.Retries.Extra, "loads_at_once", set.Loads.AtOnce)
 }
 
-// ends returns when a stopping daemon ends what is in progress; zero while it
-// serves.
+// deadline returns the time at which a stopping daemon cuts off requests in
+// progress; zero before the shutdown begins.
 func (d *Daemon) deadline() time.Time {
 	since := d.stopStarted.Load()
 	if since == nil {
@@ -50,17 +52,19 @@
 	return since.Add(d.set.Timing.Grace.D() - exitReserve)
 }
 
+// draining reports whether the shutdown has begun.
 func (d *Daemon) draining() bool { return d.stopStarted.Load() != nil }
 
 // Serving implements platform.Directory.
 func (d *Daemon) Serving() bool { return !d.draining() && d.view.Table() != nil }
 
-// localEnough is the number of daemons in a caller's failure domain from which
-// the others are left out.
+// minLocal is the least number of daemons in a caller's failure domain at which
+// daemons of other failure domains are left out of the directory's answer.
 const minLocal = 2
 
-// Addresses implements platform.Directory: the daemons of the caller's failure
-// domain, or all where those are too few to bear the loss of one.
+// Addresses implements platform.Directory. It returns the daemons of the caller's
+// failure domain, or all daemons if there are too few in that domain to tolerate
+// the loss of one.
 func (d *Daemon) Addresses(domain string) (addresses []string, ttlSeconds int) {
 	var local, all []string
 	for _, m := range d.alive() {
@@ -77,16 +81,18 @@
 	}
 	slices.Sort(all)
 	all = slices.Compact(all)
-	// Where there are more than an answer may name, each answer names others.
+	// If there are more than maxAddresses, each answer has a different selection.
 	rand.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 	return all[:min(len(all), maxAddresses)], int(max(1, d.set.Timing.AddressTTL.D().Seconds()))
 }
 
-// maxAddresses bounds an answer of the directory: callers take no more.
+// maxAddresses bounds the addresses in an answer of the directory: callers accept
+// no more.
 const maxAddresses = 64
 
-// runStop ends the daemon after a graceful shutdown: it takes requests for a
-// while, then finishes those in progress.
+// runStop waits for the shutdown to begin and carries it out: the daemon accepts
+// requests for lingerShare of the grace period, then only finishes those in
+// progress. It returns errStopped when that is done.
 func (d *Daemon) runStop(ctx context.Context) error {
 	select {
 	case <-ctx.Done():
--- a/daemon/edgedaemon/vacancy.go
+++ b/daemon/edgedaemon/vacancy.go
@@ -6,27 +6,29 @@
 )
 
 const (
-	// storeReturns is the estimate of how long an outage of the store goes on
-	// that is noticed: half of those of the users' days last less.
+	// storeOutageEstimate is the expected remaining time of an outage of the store
+	// once it is detected: half of the users' outages are shorter.
 	storeOutageEstimate = 3 * time.Second
-	// leastVacancy is the estimate for a vacancy that has outlasted a takeover.
+	// minVacancyEstimate is the estimate for a vacancy that already lasts longer
+	// than a takeover takes.
 	minVacancyEstimate = 500 * time.Millisecond
 )
 
-// vacancies remembers since when services are without a coordinator, to tell
-// requests how long that will go on.
+// vacancies records since when services have had no coordinator, to estimate how
+// long their requests must wait for one. It is safe for concurrent use.
 type vacancies struct {
-	// takeover is how long a vacancy lasts after a coordinator has died: the
-	// rest of its lease and the gap between two holders' orders.
+	// takeover is how long a vacancy lasts after a coordinator has crashed: the
+	// rest of its lease's term and the gap between the orders of two holders.
 	takeover time.Duration
 
 	mu    sync.Mutex
 	since map[string]time.Time // by service
 }
 
-// readyIn records that a service has no coordinator, and returns how long that
-// is expected to go on. storeAway says that nobody hears the store; where it only
-// turns this daemon away, another one takes over.
+// readyIn records that a service has no coordinator, and returns how long the
+// vacancy is expected to last. storeOutage means that the store answers neither
+// this daemon nor its peers; if it rejects only this daemon, another one takes
+// over.
 func (v *vacancies) readyIn(now time.Time, service string, storeOutage bool) time.Duration {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -35,7 +37,8 @@
 	}
 	since, ok := v.since[service]
 	if !ok || storeOutage {
-		// Without the store nobody can take over: that begins with its return.
+		// No daemon can take over without the store, so the takeover time counts
+		// from the end of the outage.
 		v.since[service], since = now, now
 	}
 	if storeOutage {
@@ -44,7 +47,7 @@
 	return max(minVacancyEstimate, v.takeover-now.Sub(since))
 }
 
-// filled records that a service has a coordinator.
+// filled records that a service has a coordinator again.
 func (v *vacancies) filled(service string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
