--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -62,20 +62,20 @@
 	started  time.Time
 	platform *platform.Client
 	// generations keeps the highest generation of the platform that was heard of.
-	generations *generations.Tracker
-	engines     *engine.Client
-	peers       *peers.Client
-	gossip      *gossip.Gossip
-	rollout     *rollout.Rollout
-	claimer     *claimer.Claimer
-	keeper      *quarantiner.Controller
-	quotas      *quotas.Controller
-	said        *backpressure.Tracker
-	throttle    *throttle.Controller
-	callers     *callers.Server
-	metrics     tally.Scope
-	reporter    promreporter.Reporter
-	closer      interface{ Close() error }
+	generations  *generations.Tracker
+	engines      *engine.Client
+	peers        *peers.Client
+	gossip       *gossip.Gossip
+	rollout      *rollout.Rollout
+	claimer      *claimer.Claimer
+	quarantine   *quarantiner.Controller
+	quotas       *quotas.Controller
+	backpressure *backpressure.Tracker
+	throttle     *throttle.Controller
+	callers      *callers.Server
+	metrics      tally.Scope
+	reporter     promreporter.Reporter
+	closer       interface{ Close() error }
 
 	gates atomic.Pointer[map[string]*gate.Gate]
 	roles sync.Map // by group; values are role
@@ -96,8 +96,8 @@
 func New(set settings.Settings, log *decisions.Log) (*Daemon, error) {
 	d := &Daemon{
 		set: set, self: set.Host + "-" + nonce(), started: time.Now(), drain: drain.New(),
-		said:    backpressure.New(backpressure.Options{Seed: uint64(time.Now().UnixNano())}),
-		placers: map[string]*placer.Placer{}, reporters: map[string]*reporter{}, done: make(chan struct{}),
+		backpressure: backpressure.New(backpressure.Options{Seed: uint64(time.Now().UnixNano())}),
+		placers:      map[string]*placer.Placer{}, reporters: map[string]*reporter{}, done: make(chan struct{}),
 	}
 	d.log = log.With("daemon", d.self)
 	for i, address := range []string{set.Callers.Listen, set.Peers.Listen, set.Operators.Listen} {
@@ -124,14 +124,14 @@
 		Self: d.self, Platform: d.platform, Peers: d.peers, Members: d.gossip.Members, Config: d.claimsConfig, Log: d.log.Named("claims"),
 	})
 	d.generations.OnRise(d.claimer.PlatformRestored)
-	d.keeper = quarantiner.New(quarantiner.Options{
+	d.quarantine = quarantiner.New(quarantiner.Options{
 		Self: d.self, Members: d.gossip.Members, Peer: d.peers.Quarantines().To, Endpoint: d.endpointState, Store: d.platform, Generations: d.generations, Log: d.log.Component("quarantine"), Metrics: d.metrics,
 	})
 	d.quotas = quotas.New(quotas.Options{
-		Self: d.self, Members: d.gossip.Members, Revision: d.gossip.Revision, Directory: d.workspaces, Listed: d.endpointListed, Publish: d.gossip.Set, OnLimitChange: func(life fleet.Incarnation, w limit.Report) { d.throttle.SetLimit(life, w) }, Store: d.platform, Generations: d.generations, Peer: d.peers.Quotas().To, Log: d.log.Component("quotas"), Metrics: d.metrics,
+		Self: d.self, Members: d.gossip.Members, Revision: d.gossip.Revision, Directory: d.workspaces, Listed: d.endpointListed, Publish: d.gossip.Set, OnLimitChange: func(incarnation fleet.Incarnation, report limit.Report) { d.throttle.SetLimit(incarnation, report) }, Store: d.platform, Generations: d.generations, Peer: d.peers.Quotas().To, Log: d.log.Component("quotas"), Metrics: d.metrics,
 	})
 	d.throttle = throttle.New(throttle.Options{
-		Self: d.self, Tracker: d.said, Limits: d.quotas.Endpoints(), LastReady: func(fleet.Incarnation) time.Time { return time.Time{} },
+		Self: d.self, Tracker: d.backpressure, Limits: d.quotas.Endpoints(), LastReady: func(fleet.Incarnation) time.Time { return time.Time{} },
 		Daemons: func() int { return len(d.gossip.Members()) }, Listed: d.endpointListed, OnLeaving: func(fleet.Incarnation) {}, Publish: d.gossip.Set, Log: d.log.Component("throttle"), Metrics: d.metrics,
 	})
 	d.gossip.OnFact(d.quotas.Endpoints().ReceiveFact)
@@ -139,7 +139,7 @@
 	d.setPhase(drain.Serving)
 	d.callers = callers.New(callers.Options{
 		Self: d.self, Limits: set.Limits, Config: d.rollout.Current, Gate: d.gate, Members: d.gossip.Members, Phase: d.Phase,
-		Claimer: d.claimer, Quarantine: d.keeper, Quotas: d.quotas, Throttle: d.throttle, Proxy: proxy.New(set.Limits.AnswerBytes), Log: d.log.Component("callers"), Metrics: d.metrics,
+		Claimer: d.claimer, Quarantine: d.quarantine, Quotas: d.quotas, Throttle: d.throttle, Proxy: proxy.New(set.Limits.AnswerBytes), Log: d.log.Component("callers"), Metrics: d.metrics,
 		OnEndpointLeaving: d.endpointLeaving,
 	})
 	return d, nil
@@ -213,11 +213,11 @@
 		r := d.reporterFor(svc.Name)
 		gates := map[string]*gate.Gate{}
 		if svc.Kind == bundle.KindPlain {
-			gates[svc.Name] = d.keepGate(old, svc.Name, r)
+			gates[svc.Name] = d.gateFor(old, svc.Name, r)
 		}
 		for name, u := range s.Units {
 			if u.Service == svc.Name {
-				gates[name] = d.keepGate(old, name, r)
+				gates[name] = d.gateFor(old, name, r)
 			}
 		}
 		for name, g := range gates {
@@ -229,7 +229,7 @@
 	d.gates.Store(&next)
 }
 
-func (d *Daemon) keepGate(old map[string]*gate.Gate, unit string, r *reporter) *gate.Gate {
+func (d *Daemon) gateFor(old map[string]*gate.Gate, unit string, r *reporter) *gate.Gate {
 	if g := old[unit]; g != nil {
 		return g
 	}
@@ -266,7 +266,7 @@
 
 // endpointClosed reports whether an endpoint takes no requests now, by its own word.
 func (d *Daemon) endpointClosed(e bundle.Endpoint) bool {
-	return !d.said.HasNoReport(e.Name) && d.said.Peek(clock.Now(), fleet.Incarnation{ID: e.Name}, backpressure.Request{}).Closed()
+	return !d.backpressure.HasNoReport(e.Name) && d.backpressure.Peek(clock.Now(), fleet.Incarnation{ID: e.Name}, backpressure.Request{}).Closed()
 }
 
 func (d *Daemon) endpointLeaving(endpoint string) {
@@ -290,7 +290,7 @@
 	}).Handler())
 	d.addActor(&g, ctx, d.gossip.Run)
 	d.addActor(&g, ctx, d.rollout.Run)
-	d.addActor(&g, ctx, d.keeper.Run)
+	d.addActor(&g, ctx, d.quarantine.Run)
 	d.addActor(&g, ctx, d.quotas.Run)
 	d.addActor(&g, ctx, d.throttle.Run)
 	d.addActor(&g, ctx, d.runDrain)
@@ -305,7 +305,7 @@
 // peerHandler serves the other daemons.
 func (d *Daemon) peerHandler() http.Handler {
 	mux := http.NewServeMux()
-	mux.Handle(quarantinepb.QuarantinePathPrefix, quarantinepb.NewQuarantineServer(d.keeper))
+	mux.Handle(quarantinepb.QuarantinePathPrefix, quarantinepb.NewQuarantineServer(d.quarantine))
 	mux.Handle(quotapb.QuotasPathPrefix, quotapb.NewQuotasServer(d.quotas))
 	mux.Handle(peerpb.PeerPathPrefix, peerpb.NewPeerServer((*peerServer)(d)))
 	return mux
@@ -321,20 +321,20 @@
 }
 
 // endpointListed reports whether an endpoint is declared.
-func (d *Daemon) endpointListed(life fleet.Incarnation) bool {
-	listed, _ := d.endpointState(life)
+func (d *Daemon) endpointListed(incarnation fleet.Incarnation) bool {
+	listed, _ := d.endpointState(incarnation)
 	return listed
 }
 
 // endpointState reports whether an endpoint is declared, and as draining.
-func (d *Daemon) endpointState(life fleet.Incarnation) (listed, leaving bool) {
+func (d *Daemon) endpointState(incarnation fleet.Incarnation) (listed, leaving bool) {
 	s := d.rollout.Current()
 	if s == nil {
 		return true, false // nothing says that it has gone
 	}
 	for _, svc := range s.Bundle.Services {
 		for _, e := range svc.Endpoints {
-			if e.Name == life.ID {
+			if e.Name == incarnation.ID {
 				return true, e.Drain
 			}
 		}
@@ -454,10 +454,10 @@
 
 // reviewEvery is how often waiting requests are looked at for those that have
 // run out of time.
-const reviewEvery = 20 * time.Millisecond
+const reviewInterval = 20 * time.Millisecond
 
 func (d *Daemon) runReview(ctx context.Context) error {
-	t := time.NewTicker(reviewEvery)
+	t := time.NewTicker(reviewInterval)
 	defer t.Stop()
 	for n := 0; ; n++ {
 		select {
@@ -467,7 +467,7 @@
 			for _, g := range *d.gates.Load() {
 				g.Review(now)
 			}
-			if n%loadEvery == 0 {
+			if n%reviewsPerLoadCheck == 0 {
 				d.announceLoad()
 			}
 		}
@@ -475,8 +475,8 @@
 }
 
 const (
-	loadEvery  = 100 // reviews between two looks at the load
-	loadLevels = 3
+	reviewsPerLoadCheck = 100 // reviews between two looks at the load
+	loadLevels          = 3
 )
 
 // announceLoad tells the peers a coarse load level, only when it has changed.
--- a/daemon/reporter.go
+++ b/daemon/reporter.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	reportWaiting = 50 * time.Millisecond  // between reports while requests wait
-	reportRunning = 500 * time.Millisecond // between reports while requests run or have run lately
-	reportLeast   = 5 * time.Millisecond   // between two reports, whatever happens
-	reportIdle    = 2 * time.Second        // after its last use a unit is reported no more
-	demandTimeout = time.Second
+	waitingReportInterval = 50 * time.Millisecond  // between reports while requests wait
+	runningReportInterval = 500 * time.Millisecond // between reports while requests run or have run lately
+	minReportInterval     = 5 * time.Millisecond   // between two reports, whatever happens
+	reportIdleAfter       = 2 * time.Second        // after its last use a unit is reported no more
+	demandTimeout         = time.Second
 	// noAnswerFor is how long the coordinator may be silent before waiting
 	// requests are refused.
-	noAnswerFor = 2 * time.Second
+	unansweredLimit = 2 * time.Second
 )
 
 // reporter tells one group's coordinator the demand of this daemon and brings
@@ -55,7 +55,7 @@
 
 // run reports until ctx ends.
 func (r *reporter) run(ctx context.Context) {
-	t := time.NewTicker(reportWaiting)
+	t := time.NewTicker(waitingReportInterval)
 	defer t.Stop()
 	last := time.Time{}
 	idle := true
@@ -74,10 +74,10 @@
 		}
 		units, waiting := r.demand()
 		idle = len(units) == 0
-		if len(units) == 0 || !kicked && !waiting && time.Since(last) < reportRunning {
+		if len(units) == 0 || !kicked && !waiting && time.Since(last) < runningReportInterval {
 			continue
 		}
-		if d := reportLeast - time.Since(last); d > 0 {
+		if d := minReportInterval - time.Since(last); d > 0 {
 			time.Sleep(d)
 			units, _ = r.demand()
 		}
@@ -99,7 +99,7 @@
 	now := time.Now()
 	for name, g := range r.gates {
 		wait, running := g.Busy()
-		if wait || running || now.Sub(g.LastUse()) < reportIdle {
+		if wait || running || now.Sub(g.LastUse()) < reportIdleAfter {
 			units = append(units, activeUnit{name, g})
 			waiting = waiting || wait
 		} else if r.credited[name] {
@@ -116,10 +116,10 @@
 	for _, u := range units {
 		req.Units = append(req.Units, unitDemand(now, u))
 	}
-	resp := r.ask(ctx, req)
+	resp := r.callCoordinator(ctx, req)
 	now = time.Now()
 	if resp == nil || !resp.Coordinator {
-		r.unanswered(now, units)
+		r.handleUnanswered(now, units)
 		return
 	}
 	r.answered = now
@@ -127,7 +127,7 @@
 }
 
 // ask calls the coordinator, which may be this daemon.
-func (r *reporter) ask(ctx context.Context, req *peerpb.DemandRequest) *peerpb.DemandResponse {
+func (r *reporter) callCoordinator(ctx context.Context, req *peerpb.DemandRequest) *peerpb.DemandResponse {
 	m, ok := r.d.coordinator(r.group)
 	if !ok {
 		return nil
@@ -149,8 +149,8 @@
 }
 
 // unanswered keeps the credits and, after a while, refuses what waits without.
-func (r *reporter) unanswered(now time.Time, units []activeUnit) {
-	if now.Sub(r.answered) < noAnswerFor {
+func (r *reporter) handleUnanswered(now time.Time, units []activeUnit) {
+	if now.Sub(r.answered) < unansweredLimit {
 		return
 	}
 	for _, u := range units {
