--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -1,4 +1,5 @@
-// Package daemon puts the parts of one doorvalved process together.
+// Package daemon assembles a doorvalved process that reads its configuration from
+// the platform's object API.
 package daemon
 
 import (
@@ -51,17 +52,18 @@
 	"github.com/doorvalve/doorvalve/transport/proxy"
 )
 
-// engineTimeout bounds each state question and order to an endpoint.
+// engineTimeout bounds each state request and each order to an endpoint.
 const engineTimeout = 2 * time.Second
 
-// Daemon is one process.
+// Daemon is one doorvalved process.
 type Daemon struct {
 	set      settings.Settings
 	log      *decisions.Log
 	self     string
 	started  time.Time
 	platform *platform.Client
-	// generations keeps the highest generation of the platform that was heard of.
+	// generations tracks the highest generation of the platform that this daemon
+	// has received, from the platform or from peers.
 	generations  *generations.Tracker
 	engines      *engine.Client
 	peers        *peers.Client
@@ -92,7 +94,7 @@
 }
 
 // New returns a daemon with its listeners open, so that its addresses are
-// known before it runs.
+// known before Run is called.
 func New(set settings.Settings, log *decisions.Log) (*Daemon, error) {
 	d := &Daemon{
 		set: set, self: set.Host + "-" + nonce(), started: time.Now(), drain: drain.New(),
@@ -178,7 +180,9 @@
 // OperatorAddress returns the operators' listener's address.
 func (d *Daemon) OperatorAddress() string { return d.listeners[2].Addr().String() }
 
-// seeds returns the peers to join by.
+// seeds returns the addresses of the peers through which to join the membership:
+// the seeds of the settings and, if the platform answers, the entry hosts in its
+// list that are not leaving.
 func (d *Daemon) seeds(ctx context.Context) []string {
 	list := append([]string(nil), d.set.Peers.Seeds...)
 	hosts, err := d.platform.Hosts(ctx)
@@ -193,6 +197,8 @@
 	return list
 }
 
+// claimsConfig returns the settings of claims in the configuration in force, or
+// defaults before the first one.
 func (d *Daemon) claimsConfig() bundle.Claims {
 	if s := d.rollout.Current(); s != nil {
 		return s.Bundle.Claims
@@ -200,10 +206,11 @@
 	return bundle.Claims{Shards: 1, Retention: bundle.Duration(time.Hour)}
 }
 
+// gate returns a unit's gate, or nil.
 func (d *Daemon) gate(unit string) *gate.Gate { return (*d.gates.Load())[unit] }
 
-// configure brings a snapshot into force: gates for all units, and a placer
-// and a reporter for each service.
+// configure applies a snapshot: it provides a gate for each unit, and a placer and
+// a reporter for each service.
 func (d *Daemon) configure(s *snapshot.Snapshot) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -229,6 +236,7 @@
 	d.gates.Store(&next)
 }
 
+// gateFor returns the unit's gate from old, or else a new one.
 func (d *Daemon) gateFor(old map[string]*gate.Gate, unit string, r *reporter) *gate.Gate {
 	if g := old[unit]; g != nil {
 		return g
@@ -236,7 +244,8 @@
 	return gate.New(unit, d.set.Limits.QueueLength, r.kickNow, d.endpointClosed)
 }
 
-// reporterFor returns a service's reporter; the caller holds the mutex.
+// reporterFor returns a service's reporter, and creates it on first use. The caller
+// must hold d.mu.
 func (d *Daemon) reporterFor(service string) *reporter {
 	r := d.reporters[service]
 	if r == nil {
@@ -249,7 +258,8 @@
 	return r
 }
 
-// placerFor returns a service's placer; the caller holds the mutex.
+// placerFor returns a service's placer, and creates it on first use. The caller
+// must hold d.mu.
 func (d *Daemon) placerFor(service string) *placer.Placer {
 	p := d.placers[service]
 	if p == nil {
@@ -264,18 +274,20 @@
 	return p
 }
 
-// endpointClosed reports whether an endpoint takes no requests now, by its own word.
+// endpointClosed reports whether an endpoint takes no requests now, according to its own
+// backpressure signals.
 func (d *Daemon) endpointClosed(e bundle.Endpoint) bool {
 	return !d.backpressure.HasNoReport(e.Name) && d.backpressure.Peek(clock.Now(), fleet.Incarnation{ID: e.Name}, backpressure.Request{}).Closed()
 }
 
+// endpointLeaving drops the credit of all gates at an endpoint that is leaving.
 func (d *Daemon) endpointLeaving(endpoint string) {
 	for _, g := range *d.gates.Load() {
 		g.DropEndpoint(endpoint)
 	}
 }
 
-// Run serves until the shutdown is complete or ctx ends.
+// Run serves until a graceful shutdown is complete or ctx ends.
 func (d *Daemon) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -302,7 +314,7 @@
 	return err
 }
 
-// peerHandler serves the other daemons.
+// peerHandler returns the handler of requests from other daemons.
 func (d *Daemon) peerHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle(quarantinepb.QuarantinePathPrefix, quarantinepb.NewQuarantineServer(d.quarantine))
@@ -311,7 +323,8 @@
 	return mux
 }
 
-// workspaces returns the newest workspaces and the generation that they are of.
+// workspaces returns the newest workspaces and the generation of the configuration
+// that holds them.
 func (d *Daemon) workspaces() (*workspace.Directory, uint64) {
 	s := d.rollout.Current()
 	if s == nil {
@@ -320,17 +333,19 @@
 	return s.Workspaces, s.Generation
 }
 
-// endpointListed reports whether an endpoint is declared.
+// endpointListed reports whether an endpoint is declared in the configuration.
 func (d *Daemon) endpointListed(incarnation fleet.Incarnation) bool {
 	listed, _ := d.endpointState(incarnation)
 	return listed
 }
 
-// endpointState reports whether an endpoint is declared, and as draining.
+// endpointState reports whether an endpoint is declared in the configuration, and
+// whether it is to be drained or no longer declared. Before the first configuration,
+// every endpoint counts as declared.
 func (d *Daemon) endpointState(incarnation fleet.Incarnation) (listed, leaving bool) {
 	s := d.rollout.Current()
 	if s == nil {
-		return true, false // nothing says that it has gone
+		return true, false // no configuration yet that could lack it
 	}
 	for _, svc := range s.Bundle.Services {
 		for _, e := range svc.Endpoints {
@@ -339,10 +354,11 @@
 			}
 		}
 	}
-	return false, true // taken out of the configuration
+	return false, true // removed from the configuration
 }
 
-// start runs the placers and reporters of a configuration that came first.
+// start runs the placers and reporters of a configuration that was received before
+// Run was called.
 func (d *Daemon) start(ctx context.Context) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -360,7 +376,7 @@
 	g.Add(func() error { return f(ctx) }, func(error) { cancel() })
 }
 
-// closeTimeout bounds the closing of listeners after the last request ended.
+// closeTimeout bounds the shutdown of each server after the last request has ended.
 const closeTimeout = time.Second
 
 func (d *Daemon) addServer(g *run.Group, i int, h http.Handler) {
@@ -388,12 +404,12 @@
 	})
 }
 
-// Phase returns where the daemon is in its life.
+// Phase returns the daemon's phase, from serving to the end of its shutdown.
 func (d *Daemon) Phase() drain.Phase { return *d.phase.Load() }
 
 func (d *Daemon) setPhase(p drain.Phase) { d.phase.Store(&p) }
 
-// Stop begins the graceful shutdown.
+// Stop begins the graceful shutdown and releases the leases that this daemon holds.
 func (d *Daemon) Stop() {
 	ttl := time.Duration(0)
 	if s := d.rollout.Current(); s != nil {
@@ -414,12 +430,14 @@
 	}
 }
 
-// errStopped ends the run group after a complete shutdown.
+// errStopped ends the run group after a graceful shutdown.
 var errStopped = errors.New("shutdown complete")
 
-// IsStopped reports whether err is the end of a graceful shutdown.
+// IsStopped reports whether err, returned by Run, means that a graceful shutdown
+// is complete.
 func IsStopped(err error) bool { return errors.Is(err, errStopped) }
 
+// drainTick is the interval between two steps of the drain machine.
 const drainTick = 50 * time.Millisecond
 
 func (d *Daemon) runDrain(ctx context.Context) error {
@@ -452,8 +470,8 @@
 	return phase
 }
 
-// reviewEvery is how often waiting requests are looked at for those that have
-// run out of time.
+// reviewInterval is how often gates are checked for waiting requests whose time is
+// over.
 const reviewInterval = 20 * time.Millisecond
 
 func (d *Daemon) runReview(ctx context.Context) error {
@@ -475,11 +493,11 @@
 }
 
 const (
-	reviewsPerLoadCheck = 100 // reviews between two looks at the load
-	loadLevels          = 3
+	reviewsPerLoadCheck = 100 // gate reviews between two checks of the load level
+	loadLevels          = 3   // the highest load level
 )
 
-// announceLoad tells the peers a coarse load level, only when it has changed.
+// announceLoad publishes a coarse load level to the peers when it has changed.
 func (d *Daemon) announceLoad() {
 	level := min(loadLevels, loadLevels*d.callers.InProgress()/max(1, d.set.Limits.Connections/4))
 	if d.gossip.Self().Load != level {
@@ -487,7 +505,7 @@
 	}
 }
 
-// hostOf returns the host's part of a daemon's id.
+// hostOf returns the host name in a daemon's id.
 func hostOf(id string) string {
 	if i := strings.LastIndex(id, "-"); i >= 0 {
 		return id[:i]
--- a/daemon/daemon_test.go
+++ b/daemon/daemon_test.go
@@ -25,7 +25,8 @@
 	"github.com/doorvalve/doorvalve/state/bundle"
 )
 
-// certificate writes a certificate of its own for 127.0.0.1 and returns it.
+// certificate writes a self-signed certificate for 127.0.0.1 and its key to PEM files. It
+// returns the files and a pool that trusts the certificate.
 func certificate(t *testing.T) (cert, key string, pool *x509.CertPool) {
 	t.Helper()
 	private, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -58,9 +59,10 @@
 	return cert, key, pool
 }
 
-// The operators' listener speaks TLS by settings, knows operators by token and
-// serves the dump and the metrics; a daemon without configuration refuses
-// callers; a stop with nothing in progress ends the process cleanly.
+// The operators' listener uses TLS if the settings have a certificate, authenticates
+// operators by token, and serves the dump and the metrics. A daemon without
+// configuration refuses callers. A stop without requests in progress ends Run with a
+// complete shutdown.
 func TestDaemonOperatorsTLS(t *testing.T) {
 	cert, key, pool := certificate(t)
 	set := settings.Default()
@@ -68,7 +70,7 @@
 	set.Callers.Listen, set.Peers.Listen, set.Operators.Listen = "127.0.0.1:0", "127.0.0.1:0", "127.0.0.1:0"
 	set.Operators.Tokens = []settings.OperatorToken{{Name: "anna", TokenSHA256: bundle.Digest([]byte("secret"))}}
 	set.Operators.TLS = &settings.TLS{Cert: cert, Key: key}
-	set.Platform.URL = "http://127.0.0.1:1" // nobody answers
+	set.Platform.URL = "http://127.0.0.1:1" // nothing listens there
 	d, err := New(set, decisions.New(io.Discard, "test", hclog.Off))
 	if err != nil {
 		t.Fatal(err)
@@ -94,13 +96,13 @@
 		}
 	}
 	if got := get(base+"/debug/state", "wrong"); got != http.StatusUnauthorized {
-		t.Errorf("wrong token: status %d", got)
+		t.Errorf("wrong token: status %d, want 401", got)
 	}
 	if got := get("http://"+d.CallerAddress()+"/v1/addresses", ""); got != http.StatusServiceUnavailable {
-		t.Errorf("no configuration: status %d", got)
+		t.Errorf("no configuration: status %d, want 503", got)
 	}
 	d.Stop()
 	if err := <-done; !IsStopped(err) {
-		t.Errorf("stopped with %v", err)
+		t.Errorf("Run returned %v, want the end of a graceful shutdown", err)
 	}
 }
--- a/daemon/dump.go
+++ b/daemon/dump.go
@@ -13,7 +13,7 @@
 	"github.com/doorvalve/doorvalve/transport/meter"
 )
 
-// Dump is a daemon's whole state, for people.
+// Dump is a daemon's state as shown to operators.
 type Dump struct {
 	ID            string              `json:"id"`
 	Host          string              `json:"host"`
@@ -28,20 +28,21 @@
 	Bytes         ControlBytes        `json:"control_bytes"`
 	Members       []membership.Member `json:"members"`
 	Groups        []placer.View       `json:"groups"`
-	Gates         []gate.View         `json:"gates"` // those in use
+	Gates         []gate.View         `json:"gates"` // with requests or credit
 	ClaimKeys     map[uint32]int      `json:"claim_keys"`
 	Workspaces    []quotas.View       `json:"workspaces"`
-	Limits        []quotas.LimitView  `json:"endpoint_limits"` // that endpoints name now
+	Limits        []quotas.LimitView  `json:"endpoint_limits"` // rate limits that endpoints report now
 }
 
-// ControlBytes are the bytes spent on control since the start, by role.
+// ControlBytes counts the bytes of control traffic since the start, by the role of
+// the other side.
 type ControlBytes struct {
 	Platform  meter.Counts `json:"platform"`
 	Peers     meter.Counts `json:"peers"`
 	Endpoints meter.Counts `json:"endpoints"`
 }
 
-// Dump returns the daemon's state.
+// Dump returns the daemon's present state.
 func (d *Daemon) Dump() Dump {
 	out := Dump{
 		ID: d.self, Host: d.set.Host, FailureDomain: d.set.FailureDomain, Phase: d.Phase(),
--- a/daemon/reporter.go
+++ b/daemon/reporter.go
@@ -15,17 +15,17 @@
 
 const (
 	waitingReportInterval = 50 * time.Millisecond  // between reports while requests wait
-	runningReportInterval = 500 * time.Millisecond // between reports while requests run or have run lately
-	minReportInterval     = 5 * time.Millisecond   // between two reports, whatever happens
-	reportIdleAfter       = 2 * time.Second        // after its last use a unit is reported no more
+	runningReportInterval = 500 * time.Millisecond // between reports while requests run or have run within reportIdleAfter
+	minReportInterval     = 5 * time.Millisecond   // least time between two reports
+	reportIdleAfter       = 2 * time.Second        // since its last use, after which a unit is no longer reported
 	demandTimeout         = time.Second
-	// noAnswerFor is how long the coordinator may be silent before waiting
-	// requests are refused.
+	// unansweredLimit is how long the coordinator may leave reports unanswered before
+	// waiting requests are refused.
 	unansweredLimit = 2 * time.Second
 )
 
-// reporter tells one group's coordinator the demand of this daemon and brings
-// back credits and estimates. An idle daemon sends nothing.
+// reporter sends this daemon's demand to one group's coordinator and applies the
+// credits and estimates of the answer. An idle daemon sends nothing.
 type reporter struct {
 	group string
 	d     *Daemon
@@ -35,13 +35,14 @@
 	service  bundle.Service
 	gates    map[string]*gate.Gate
 	credited map[string]bool // units that hold credit
-	answered time.Time
+	answered time.Time       // time of the last answer; only run uses it
 }
 
 func newReporter(group string, d *Daemon) *reporter {
 	return &reporter{group: group, d: d, kick: make(chan struct{}, 1), credited: map[string]bool{}, answered: time.Now()}
 }
 
+// configure sets the service's configuration and the gates of its units.
 func (r *reporter) configure(s bundle.Service, gates map[string]*gate.Gate) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -51,9 +52,10 @@
 	}
 }
 
+// kickNow requests a report as soon as minReportInterval allows. It does not block.
 func (r *reporter) kickNow() { wake.Once(r.kick) }
 
-// run reports until ctx ends.
+// run sends reports until ctx ends.
 func (r *reporter) run(ctx context.Context) {
 	t := time.NewTicker(waitingReportInterval)
 	defer t.Stop()
@@ -63,7 +65,7 @@
 		kicked := false
 		tick := t.C
 		if idle {
-			tick = nil // the next request has no credit, and kicks
+			tick = nil // the next request has no credit and calls kickNow
 		}
 		select {
 		case <-ctx.Done():
@@ -92,7 +94,8 @@
 	gate *gate.Gate
 }
 
-// demand lists the units in use and takes the credit from those that are not.
+// demand returns the units in use and whether requests wait, and withdraws the credit
+// of the other units.
 func (r *reporter) demand() (units []activeUnit, waiting bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -110,6 +113,7 @@
 	return units, waiting
 }
 
+// report sends the demand of units and applies the answer.
 func (r *reporter) report(ctx context.Context, units []activeUnit) {
 	req := &peerpb.DemandRequest{From: r.d.self, Group: r.group}
 	now := time.Now()
@@ -126,7 +130,8 @@
 	r.apply(now, units, resp)
 }
 
-// ask calls the coordinator, which may be this daemon.
+// callCoordinator sends req to the coordinator, which may be this daemon. It returns
+// nil if there is no answer.
 func (r *reporter) callCoordinator(ctx context.Context, req *peerpb.DemandRequest) *peerpb.DemandResponse {
 	m, ok := r.d.coordinator(r.group)
 	if !ok {
@@ -148,7 +153,8 @@
 	return resp
 }
 
-// unanswered keeps the credits and, after a while, refuses what waits without.
+// handleUnanswered leaves the credits as they are and, after unansweredLimit without an
+// answer, refuses the requests that wait for credit.
 func (r *reporter) handleUnanswered(now time.Time, units []activeUnit) {
 	if now.Sub(r.answered) < unansweredLimit {
 		return
@@ -158,10 +164,12 @@
 	}
 }
 
+// unitDemand returns a unit's demand, which it takes from the gate: arrivals and refusals
+// are counted only once.
 func unitDemand(now time.Time, u activeUnit) *peerpb.UnitDemand {
 	rep := u.gate.Report()
 	d := &peerpb.UnitDemand{Unit: u.name, InFlight: rep.InFlight, Arrivals: rep.Arrivals, Shut: rep.Unavailable, ShutWorth: rep.UnavailableWorth}
-	for _, it := range rep.Waiting { // best first, so equal worths are neighbours
+	for _, it := range rep.Waiting { // sorted by worth, highest first, so equal worths are adjacent
 		n := len(d.Waiting)
 		if n > 0 && d.Waiting[n-1].Worth == it.Worth {
 			d.Waiting[n-1].Count++
@@ -172,7 +180,7 @@
 	return d
 }
 
-// apply hands credits and estimates to the gates.
+// apply passes the credits and estimates of an answer to the gates.
 func (r *reporter) apply(now time.Time, units []activeUnit, resp *peerpb.DemandResponse) {
 	r.mu.Lock()
 	endpoints := map[string]bundle.Endpoint{}
@@ -202,8 +210,8 @@
 	}
 }
 
-// estimateFrom reads the wire form: a negative wait with a reason is a refusal
-// whose time to come back is -wait-1.
+// estimateFrom decodes an estimate: a wait in milliseconds or, if there is a reason, a
+// refusal with a retry delay of -waitMs-1 milliseconds.
 func estimateFrom(waitMs int64, reason string) admission.Estimate {
 	if reason != "" {
 		return admission.Estimate{RefuseReason: reason, RetryAfter: time.Duration(-waitMs-1) * time.Millisecond}
--- a/daemon/roles.go
+++ b/daemon/roles.go
@@ -11,29 +11,31 @@
 	"github.com/doorvalve/doorvalve/protocol/peerpb"
 )
 
-// roles tells the placers what the membership says of this daemon.
+// roles implements placer.Roles from the membership and the gossiped facts.
 type roles Daemon
 
-// leaseFact names a group's lease holder among the daemons.
+// leaseFact is the value of the gossiped fact that names the holder of a group's lease.
 type leaseFact struct {
 	Holder string `json:"holder"` // empty after a release
 }
 
+// leasePrefix is the prefix of the keys of those facts.
 const leasePrefix = "l/"
 
-// candidates is how many daemons try to hold one group's lease.
+// candidates is the number of daemons that try to hold one group's lease.
 const candidates = 2
 
-// role is what the membership says of one group.
+// role is this daemon's relation to one group, derived from the membership.
 type role struct {
-	revision    uint64 // of the view that it was worked out from
+	revision    uint64 // of the membership view that the role was computed from
 	coordinator membership.Member
-	known       bool // there is a coordinator
-	candidate   bool // this daemon is among those that try to hold the lease
+	known       bool // whether there is a coordinator
+	candidate   bool // whether this daemon should try to hold the lease
 }
 
-// role looks a group's role up and works it out anew only after the view has
-// changed, so that asking often costs little with many daemons and groups.
+// role returns this daemon's role in a group. It is computed again only after the
+// membership view has changed, so that frequent calls are cheap with many daemons and
+// groups.
 func (d *Daemon) role(group string) role {
 	revision := d.gossip.Revision()
 	if r, ok := d.roles.Load(group); ok && r.(role).revision == revision {
@@ -50,14 +52,15 @@
 	return r
 }
 
-// coordinator returns the daemon that answers a group's demand.
+// coordinator returns the daemon that answers a group's demand reports, and whether
+// there is one.
 func (d *Daemon) coordinator(group string) (membership.Member, bool) {
 	r := d.role(group)
 	return r.coordinator, r.known
 }
 
-// findCoordinator picks the holder of the group's lease while it is alive, or
-// else the first by rendezvous.
+// findCoordinator returns the holder of the group's lease if it is not dead or
+// leaving, or else the first daemon in rendezvous order.
 func (d *Daemon) findCoordinator(group string, members []membership.Member) (membership.Member, bool) {
 	if last := (*roles)(d).LastHolder(group); last.Holder != "" {
 		for _, m := range members {
@@ -101,16 +104,16 @@
 func (r *roles) LastHolder(group string) placement.FormerHolder {
 	e, _ := r.gossip.Get(leasePrefix + group)
 	var f leaseFact
-	_ = json.Unmarshal(e.Value, &f) // a fact that is not there or cannot be read names no holder
+	_ = json.Unmarshal(e.Value, &f) // a missing or unreadable fact names no holder
 	return placement.FormerHolder{Holder: f.Holder, Fence: e.Version / versionsPerFence}
 }
 
-// versionsPerFence is the number of versions of a lease's fact under one fence: its hold and its
-// release.
+// versionsPerFence is the number of versions of a lease's fact under one fence: one for the hold
+// and one for the release.
 const versionsPerFence = 2
 
-// Held implements placer.Roles. The fact's version orders a release after the
-// hold of the same fence, and both before the next fence.
+// AnnounceHolder implements placer.Roles. The fact's version orders a release after
+// the hold under the same fence, and both before those under the next fence.
 func (r *roles) AnnounceHolder(group string, fence uint64, held bool) {
 	f := leaseFact{Holder: r.self}
 	version := versionsPerFence * fence
@@ -118,13 +121,13 @@
 		f.Holder = ""
 		version++
 	}
-	value, _ := json.Marshal(f) // one string always marshals
+	value, _ := json.Marshal(f) // a struct of one string always marshals
 	r.gossip.Set(membership.Entry{Key: leasePrefix + group, Version: version, Value: value})
 }
 
-// Quiescent implements placer.Roles: the former holder says so itself, or
-// another process runs in its place on its host, or the host has left the
-// platform's list.
+// Quiescent implements placer.Roles. A former holder is quiescent if it answers so
+// itself, if another process has replaced it on its host, or if the platform no
+// longer lists its host.
 func (r *roles) Quiescent(ctx context.Context, holder, group string, fence uint64) bool {
 	d := (*Daemon)(r)
 	for _, m := range d.gossip.Members() {
@@ -148,7 +151,7 @@
 	return true
 }
 
-// peerServer serves the other daemons.
+// peerServer implements peerpb.Peer.
 type peerServer Daemon
 
 // Gossip implements peerpb.Peer.
@@ -185,6 +188,7 @@
 	return &peerpb.HandoverResponse{Quiescent: p == nil || p.Quiescent(req.Fence)}, nil
 }
 
+// placer returns a group's placer, or nil.
 func (d *Daemon) placer(group string) *placer.Placer {
 	d.mu.Lock()
 	defer d.mu.Unlock()
