--- a/settings/edge.go
+++ b/settings/edge.go
@@ -10,7 +10,7 @@
 	"github.com/doorvalve/doorvalve/state/bundle"
 )
 
-// Edge are the settings of a daemon whose desired state and endpoints come
+// Edge are the settings of a daemon that reads its desired state and its endpoints
 // from the platform's store.
 type Edge struct {
 	Host          string      `json:"host"`
@@ -22,93 +22,95 @@
 	Timing        EdgeTiming  `json:"timing"`
 	Retries       EdgeRetries `json:"retries"`
 	Loads         EdgeLoads   `json:"loads"`
-	// FirstStart says that the whole system starts for the first time: nobody has held a lease
-	// before, which a restored store could have lost.
+	// FirstStart declares that the whole system starts for the first time. No daemon has held
+	// a lease before, so a missing lease record was not lost by a restore of the store.
 	FirstStart bool `json:"first_start"`
-	// Quotas is left out where workspaces have none.
+	// Quotas is omitted if workspaces have no quotas.
 	Quotas   EdgeQuotas `json:"quotas"`
 	LogLevel string     `json:"log_level"`
 }
 
-// EdgeListen are the daemon's listeners.
+// EdgeListen holds the addresses of the daemon's listeners.
 type EdgeListen struct {
 	Callers   string `json:"callers"`
-	Directory string `json:"directory"` // callers that ask where to connect
-	Readiness string `json:"readiness"` // the platform's own checks
+	Directory string `json:"directory"` // for callers that look up the daemons' addresses
+	Readiness string `json:"readiness"` // for the platform's health checks
 	Peers     string `json:"peers"`
-	Metrics   string `json:"metrics"`
+	Metrics   string `json:"metrics"` // empty: no listener
 }
 
-// EdgePeers are the other daemons as far as they are known at the start.
+// EdgePeers holds the other daemons that are known at the start.
 type EdgePeers struct {
-	Seeds []string `json:"seeds"` // may be stale
+	Seeds []string `json:"seeds"` // peer addresses; some may be out of date
 }
 
-// EdgeStore is the platform's store.
+// EdgeStore holds the address of the platform's store and the time-out of calls to it.
 type EdgeStore struct {
 	Address string          `json:"address"`
-	Timeout bundle.Duration `json:"timeout"` // of a call that does not wait for changes
+	Timeout bundle.Duration `json:"timeout"` // of calls that do not wait for changes
 }
 
-// EdgeLimits bound what the daemon takes.
+// EdgeLimits are the resources that the daemon may use.
 type EdgeLimits struct {
-	MemoryMB    int64 `json:"memory_mb"` // of the process; beyond it, it is killed
+	MemoryMB    int64 `json:"memory_mb"` // MiB; a process that uses more is killed
 	Descriptors int64 `json:"descriptors"`
-	// CPUShare and Cores are the part of how many cores that the daemon has; zero where
-	// it is not known.
+	// The daemon may use the fraction CPUShare of Cores processor cores; zero if not
+	// known.
 	CPUShare float64 `json:"cpu_share"`
 	Cores    float64 `json:"cores"`
 }
 
-// Capacity returns what the daemon has of a core, in thousandths; zero where it is not
+// Capacity returns the daemon's processor time in thousandths of a core; zero if not
 // known.
 func (l EdgeLimits) Capacity() int { return int(l.CPUShare * l.Cores * 1000) }
 
-// EdgeTiming are times that the platform and the daemons have agreed on.
+// EdgeTiming holds the times that are agreed between the platform and the daemons.
 type EdgeTiming struct {
-	// AddressTTL is how long callers keep an answer of the directory; some
-	// keep it three times as long.
+	// AddressTTL is how long callers cache an answer of the directory; some cache
+	// it three times as long.
 	AddressTTL bundle.Duration `json:"address_ttl"`
-	// Grace is the time between a request to stop and the kill.
+	// Grace is the time between the request to stop a daemon and its kill.
 	Grace bundle.Duration `json:"grace"`
-	// OrderGap is the least time between orders of two holders to one engine.
+	// OrderGap is the least time between the orders of two lease holders to one
+	// engine.
 	OrderGap bundle.Duration `json:"order_gap"`
-	// LeaveWithin is the time in which an endpoint that has announced that it
-	// leaves must get no more requests.
+	// LeaveWithin is the time after an endpoint's announcement that it leaves, from
+	// which it must get no more requests.
 	LeaveWithin bundle.Duration `json:"leave_within"`
-	// ApplyWithin is the time in which a new desired state must be in force.
+	// ApplyWithin is the time within which a new desired state must be in force.
 	ApplyWithin bundle.Duration `json:"apply_within"`
-	// RevokeWithin is the time in which a key that was taken away must not be taken any
-	// more, whatever this daemon hears; zero: there is no such bound.
+	// RevokeWithin is the time after which a revoked key must not be accepted, even by a
+	// daemon that receives no updates; zero: no such bound.
 	RevokeWithin bundle.Duration `json:"revoke_within"`
-	// EndpointHeartbeat is the time between two heartbeats of an endpoint.
+	// EndpointHeartbeat is the interval between heartbeats of an endpoint.
 	EndpointHeartbeat bundle.Duration `json:"endpoint_heartbeat"`
-	// Pass is how long an event of a stream may take through the daemon.
+	// Pass is the time that the daemon may take to pass on an event of a stream.
 	Pass bundle.Duration `json:"pass"`
 }
 
 // EdgeRetries bound the retries of all daemons together.
 type EdgeRetries struct {
-	Ratio float64 `json:"ratio"` // of the requests
-	Extra float64 `json:"extra"` // beside, within a window
+	Ratio float64 `json:"ratio"` // retries as a fraction of the requests
+	Extra float64 `json:"extra"` // further retries within a window
 }
 
-// EdgeLoads bound the loads from the weight store.
+// EdgeLoads bound the loads of models from the weight store.
 type EdgeLoads struct {
 	Window bundle.Duration `json:"window"`
-	Factor float64         `json:"factor"` // of the declared rate, within a window
-	AtOnce int             `json:"at_once"`
+	Factor float64         `json:"factor"`  // allowed loads within a window, as a multiple of the declared rate
+	AtOnce int             `json:"at_once"` // concurrent loads, until the store's concurrency has been learned
 }
 
-// EdgeQuotas say how far all daemons together may exceed the quota of a workspace:
-// in each window by a part of it, and by a fixed number of its units.
+// EdgeQuotas bound how far all daemons together may exceed the quota of a workspace in
+// each window: by the fraction Overage of the quota and by Slack, in units of the quota.
 type EdgeQuotas struct {
 	Window  bundle.Duration `json:"window"`
 	Overage float64         `json:"overage"`
 	Slack   float64         `json:"slack"`
 }
 
-// LoadEdge reads and checks a file.
+// LoadEdge reads and checks a file. Invalid settings are returned all together, as
+// bundle.Issues.
 func LoadEdge(file string) (Edge, error) {
 	content, err := os.ReadFile(file)
 	if err != nil {
@@ -117,8 +119,8 @@
 	return ParseEdge(file, content)
 }
 
-// ParseEdge reads and checks settings. Faults come back all at once, as
-// bundle.Issues.
+// ParseEdge reads and checks the content of a file, which errors refer to as file.
+// Invalid settings are returned all together, as bundle.Issues.
 func ParseEdge(file string, content []byte) (Edge, error) {
 	s := Edge{LogLevel: "info"}
 	lines, err := bundle.DecodeStrict(file, content, &s)
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads the settings of one daemon: JSON with comments,
-// strict, checked at load.
+// Package settings reads the settings of one daemon from a file of JSON with
+// comments. Unknown fields and invalid values are errors.
 package settings
 
 import (
@@ -14,7 +14,8 @@
 	"github.com/doorvalve/doorvalve/state/bundle"
 )
 
-// Settings are what a daemon knows before it has seen any bundle.
+// Settings are the settings of a daemon that reads its configuration, the bundle,
+// from the platform's object API. They hold what it needs before it has a bundle.
 type Settings struct {
 	Host          string    `json:"host"`
 	FailureDomain string    `json:"failure_domain"`
@@ -24,62 +25,62 @@
 	Platform      Platform  `json:"platform"`
 	Limits        Limits    `json:"limits"`
 	LogLevel      string    `json:"log_level"`
-	// LeaseTerm is the life of a placement lease without renewal.
+	// LeaseTerm is the time after which a placement lease expires without renewal.
 	LeaseTerm bundle.Duration `json:"lease_term"`
-	// FirstStart says that the whole system starts for the first time: nobody has held a lease
-	// before, which a restored platform could have lost.
+	// FirstStart declares that the whole system starts for the first time. No daemon has held
+	// a lease before, so a missing lease record was not lost by a restore of the platform.
 	FirstStart bool `json:"first_start"`
 }
 
-// Callers is the listener for callers.
+// Callers configures the listener for callers.
 type Callers struct {
 	Listen string `json:"listen"`
 }
 
-// Peers is the listener for other daemons.
+// Peers configures the listener for other daemons.
 type Peers struct {
 	Listen string   `json:"listen"`
-	Seeds  []string `json:"seeds,omitempty"` // used beside the platform's host list
-	// Token is a secret that all daemons share; a call without it is refused.
-	// Empty leaves the listener open, for trials on one machine.
+	Seeds  []string `json:"seeds,omitempty"` // used in addition to the platform's host list
+	// Token is a secret that all daemons share; calls without it are refused.
+	// If it is empty, all calls are accepted: for trials on one host.
 	Token string `json:"token,omitempty"`
 }
 
-// Operators is the listener for operators.
+// Operators configures the listener for operators.
 type Operators struct {
 	Listen string          `json:"listen"`
 	Tokens []OperatorToken `json:"tokens"`
 	TLS    *TLS            `json:"tls,omitempty"`
 }
 
-// OperatorToken names an operator by the hash of a bearer token.
+// OperatorToken identifies an operator by the hash of a bearer token.
 type OperatorToken struct {
 	Name        string `json:"name"`
 	TokenSHA256 string `json:"token_sha256"`
 }
 
-// TLS names a certificate and its key as PEM files.
+// TLS holds the names of the PEM files of a certificate and its key.
 type TLS struct {
 	Cert string `json:"cert"`
 	Key  string `json:"key"`
 }
 
-// Platform says where the platform is.
+// Platform holds the address of the platform and the time-out of calls to it.
 type Platform struct {
 	URL     string          `json:"url"`
 	Timeout bundle.Duration `json:"timeout"`
 }
 
-// Limits bound what callers can take.
+// Limits bound the resources that callers can use.
 type Limits struct {
 	BodyBytes   int64 `json:"body_bytes"`
 	HeaderBytes int   `json:"header_bytes"`
-	AnswerBytes int64 `json:"answer_bytes"` // of an answer that is not streamed
-	QueueLength int   `json:"queue_length"` // for each model
+	AnswerBytes int64 `json:"answer_bytes"` // size of an answer that is not streamed
+	QueueLength int   `json:"queue_length"` // waiting requests for each model
 	Connections int   `json:"connections"`
 }
 
-// Default returns settings with every optional value set.
+// Default returns settings with a default for each optional value.
 func Default() Settings {
 	return Settings{
 		LogLevel:  "info",
@@ -89,7 +90,7 @@
 	}
 }
 
-// Load reads and checks a file. Faults come back all at once, as
+// Load reads and checks a file. Invalid settings are returned all together, as
 // bundle.Issues.
 func Load(file string) (Settings, error) {
 	content, err := os.ReadFile(file)
@@ -99,7 +100,8 @@
 	return Parse(file, content)
 }
 
-// Parse reads and checks settings.
+// Parse reads and checks the content of a file, which errors refer to as file.
+// Invalid settings are returned all together, as bundle.Issues.
 func Parse(file string, content []byte) (Settings, error) {
 	s := Default()
 	lines, err := bundle.DecodeStrict(file, content, &s)
@@ -114,14 +116,14 @@
 	return s, nil
 }
 
-// checker checks settings.
+// checker collects the issues of invalid settings.
 type checker struct{ *bundle.Checker }
 
-// minPeerToken is the least length of the daemons' shared secret.
+// minPeerToken is the least length of the daemons' shared secret, in bytes.
 const minPeerToken = 16
 
-// Bounds of the lease term: shorter ones lapse in ordinary pauses, longer
-// ones leave a group without a holder for too long.
+// Bounds of the lease term. A shorter lease expires in ordinary pauses of its
+// holder; a longer one leaves a group without a holder for too long after a crash.
 const (
 	minLeaseTerm = time.Second
 	maxLeaseTerm = time.Minute
@@ -158,6 +160,8 @@
 	}
 }
 
+// listeners checks the listeners' addresses, which must not overlap. Port 0 never
+// overlaps, since each listener then gets a free port.
 func (c checker) listeners(s Settings) {
 	seen := map[netip.AddrPort]string{}
 	for _, l := range []struct{ path, address string }{
@@ -176,6 +180,7 @@
 	}
 }
 
+// ipHost reports whether the URL's host is an IP address, not a name.
 func ipHost(u *url.URL) bool {
 	_, err := netip.ParseAddr(u.Hostname())
 	return err == nil
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -31,7 +31,7 @@
 		_, err := Parse("s", []byte(changed))
 		var issues bundle.Issues
 		if !errors.As(err, &issues) {
-			t.Errorf("%s: %v", c.name, err)
+			t.Errorf("%s: got error %v, want bundle.Issues", c.name, err)
 			continue
 		}
 		found := false
@@ -39,7 +39,7 @@
 			found = found || i.Field == c.field && i.Line > 1
 		}
 		if !found {
-			t.Errorf("%s: %v", c.name, err)
+			t.Errorf("%s: no issue of the field with its line in: %v", c.name, err)
 		}
 	}
 }
