--- a/replay/arrivals.go
+++ b/replay/arrivals.go
@@ -68,12 +68,12 @@
 // the hours of the shape.
 func (s Shape) unit(rng *rand.Rand, name string, perDay float64, days int) []Arrival {
 	var list []Arrival
-	anywhere := func() time.Duration {
+	randomTime := func() time.Duration {
 		return time.Duration((s.From + rng.Float64()*(s.To-s.From)) * float64(time.Hour))
 	}
 	fixed := make([]time.Duration, int(math.Round(perDay*s.Scheduled)))
 	for i := range fixed {
-		fixed[i] = anywhere()
+		fixed[i] = randomTime()
 	}
 	for day := range days {
 		midnight := time.Duration(day) * 24 * time.Hour
@@ -82,7 +82,7 @@
 			list = append(list, s.burst(rng, name, max(0, midnight+at+jitter))...)
 		}
 		for range poisson(rng, perDay*(1-s.Scheduled)) {
-			list = append(list, s.burst(rng, name, midnight+anywhere())...)
+			list = append(list, s.burst(rng, name, midnight+randomTime())...)
 		}
 	}
 	return list
@@ -107,13 +107,13 @@
 
 // Overload draws requests at a multiple of a service's capacity for units that
 // are asked for all the time, half of each class.
-func Overload(b *bundle.Bundle, service string, units, classes []string, times float64, service1, length time.Duration, seed uint64) []Arrival {
+func Overload(b *bundle.Bundle, service string, units, classes []string, factor float64, serviceTime, length time.Duration, seed uint64) []Arrival {
 	rng := Seeded(seed)
 	slots := 0
 	for _, e := range b.Service(service).Endpoints {
 		slots += e.Slots
 	}
-	n := int(times * float64(slots) * length.Seconds() / service1.Seconds())
+	n := int(factor * float64(slots) * length.Seconds() / serviceTime.Seconds())
 	list := make([]Arrival, n)
 	for i := range list {
 		list[i] = Arrival{
--- a/replay/replay.go
+++ b/replay/replay.go
@@ -86,7 +86,7 @@
 const tick = 250 * time.Millisecond
 
 // restTick is the step while nothing waits, runs or loads.
-const restTick = 2 * time.Second
+const idleTick = 2 * time.Second
 
 // unitState is one unit at one endpoint.
 type unitState struct {
@@ -128,7 +128,7 @@
 	arrived   map[string]int
 	res       Result
 	nextID    uint64
-	loadsNow  int
+	loading   int
 }
 
 // start is a Monday, midnight UTC.
@@ -158,8 +158,8 @@
 		}
 		r.step()
 		step := tick
-		if r.quiet() {
-			step = restTick
+		if r.idle() {
+			step = idleTick
 			if next < len(opt.Arrivals) {
 				step = max(tick, min(step, start.Add(opt.Arrivals[next].At).Sub(r.now)))
 			}
@@ -172,7 +172,7 @@
 	return r.res
 }
 
-func (r *run) quiet() bool { return len(r.requests) == 0 && len(r.active) == 0 && r.loadsNow == 0 }
+func (r *run) idle() bool { return len(r.requests) == 0 && len(r.active) == 0 && r.loading == 0 }
 
 func (r *run) arrive(a Arrival) {
 	class := r.opt.Bundle.Class(a.Class)
@@ -234,7 +234,7 @@
 // step lets one tick happen: ends, loads, decisions, starts.
 func (r *run) step() {
 	r.finish()
-	r.loadsNow = 0
+	r.loading = 0
 	for _, e := range r.endpoints {
 		r.progress(e)
 	}
@@ -269,7 +269,7 @@
 			u.Status = protocol.UnitReady
 			e.dirty = true
 		case u.Status == protocol.UnitLoading:
-			r.loadsNow++
+			r.loading++
 		case u.Status == protocol.UnitUnloading && u.Running == 0:
 			delete(e.units, name)
 			e.dirty = true
@@ -340,15 +340,15 @@
 	if e.units[o.Unit] != nil {
 		return
 	}
-	var took time.Duration
+	var loadTime time.Duration
 	for _, u := range r.opt.Bundle.Units() {
 		if u.Name == o.Unit {
-			took = u.Load
+			loadTime = u.Load
 		}
 	}
 	r.res.Loads++
-	r.loadsNow++
-	e.units[o.Unit] = &unitState{readyAt: r.now.Add(took), EngineUnit: protocol.EngineUnit{
+	r.loading++
+	e.units[o.Unit] = &unitState{readyAt: r.now.Add(loadTime), EngineUnit: protocol.EngineUnit{
 		Unit: o.Unit, Version: o.Version, Base: o.Base, Status: protocol.UnitLoading, MemoryMiB: o.MemoryMiB, Seq: o.Seq,
 	}}
 }
--- a/replay/replay_test.go
+++ b/replay/replay_test.go
@@ -10,7 +10,7 @@
 	"github.com/doorvalve/doorvalve/state/bundle"
 )
 
-func load(t *testing.T, name string) *bundle.Bundle {
+func loadBundle(t *testing.T, name string) *bundle.Bundle {
 	t.Helper()
 	content, err := os.ReadFile("../examples/" + name)
 	if err != nil {
@@ -46,7 +46,7 @@
 		{"hinokuni.hujson", "bid-llm", Hinokuni(), 40, 5 * time.Minute, 850, 6 * time.Second, 8},
 	}
 	for _, c := range cases {
-		b := load(t, c.file)
+		b := loadBundle(t, c.file)
 		arrivals := Generate(b, c.shapes, 1, 1)
 		learned := replayDay(b, c.service, arrivals, keepalive.New(keepalive.Options{
 			ColdStartWeight: c.weight, IdleWeight: 1, MinIdle: b.Policy.MinIdle.D(), MaxIdle: b.Policy.MaxIdle.D(),
@@ -72,7 +72,7 @@
 		file, service string
 		leastGain     float64
 	}{{"tsasan.hujson", "assist-lm", 1.5}, {"hinokuni.hujson", "bid-llm", 1.08}} {
-		b := load(t, c.file)
+		b := loadBundle(t, c.file)
 		var units, classes []string
 		for _, m := range b.Models[:9] {
 			units = append(units, m.Name)
@@ -81,13 +81,13 @@
 			classes = append(classes, class.Name)
 		}
 		arrivals := Overload(b, c.service, units, classes, 2, 2*time.Second, time.Minute, 1)
-		worth := func(a Admission) Result {
+		replayWith := func(a Admission) Result {
 			return Run(Options{Bundle: b, Service: c.service, Arrivals: arrivals, Length: 10 * time.Minute, Policy: Never, Admission: a, ServiceTime: 2 * time.Second, QueueLen: 256})
 		}
-		ours, fcfs := worth(ByWorth), worth(FirstComeFirstServed)
-		t.Logf("%s: worth %d by worth, %d first come first served", c.file, ours.Worth, fcfs.Worth)
-		if float64(ours.Worth) < c.leastGain*float64(fcfs.Worth) || ours.Late > 0 {
-			t.Errorf("%s: worth %d against %d, %d late", c.file, ours.Worth, fcfs.Worth, ours.Late)
+		byWorth, fcfs := replayWith(ByWorth), replayWith(FirstComeFirstServed)
+		t.Logf("%s: worth %d by worth, %d first come first served", c.file, byWorth.Worth, fcfs.Worth)
+		if float64(byWorth.Worth) < c.leastGain*float64(fcfs.Worth) || byWorth.Late > 0 {
+			t.Errorf("%s: worth %d against %d, %d late", c.file, byWorth.Worth, fcfs.Worth, byWorth.Late)
 		}
 	}
 }
