--- a/replay/arrivals.go
+++ b/replay/arrivals.go
@@ -11,18 +11,19 @@
 	"github.com/doorvalve/doorvalve/state/bundle"
 )
 
-// Shape is when and how often the units of one class are called.
+// Shape describes when and how often the units of one caller class are requested.
 type Shape struct {
-	Prefix    string // of the names of the units
+	Prefix    string // of the names of the units, without the hyphen after it
 	Class     string
-	PerDay    float64 // bursts a day of the unit most called; the others fall off as 1/rank
-	From, To  float64 // hours of the day
-	Scheduled float64 // part of the bursts that come at the same minute each day
-	BurstMean float64 // requests in a burst
+	PerDay    float64 // bursts a day of the first unit; a unit of rank n has 1/n of that
+	From, To  float64 // hours of the day within which bursts begin
+	Scheduled float64 // share of the bursts that come at about the same minute each day
+	BurstMean float64 // mean number of requests in a burst
 }
 
-// Tsasan is the shape of the field crews' calls: daily crews by daylight, and
-// reports all day; bursts when a crew arrives.
+// Tsasan returns the shapes for the units of examples/tsasan.hujson: field crews send
+// requests by daylight, in a burst when a crew arrives, and reports are requested
+// around the clock.
 func Tsasan() []Shape {
 	return []Shape{
 		{Prefix: "summary", Class: "crew", PerDay: 60, From: 6, To: 19, Scheduled: 0.2, BurstMean: 6},
@@ -32,8 +33,9 @@
 	}
 }
 
-// Hinokuni is the shape of the desk's calls: two day shifts with fixed gate
-// closures, and reviews at night.
+// Hinokuni returns the shapes for the units of examples/hinokuni.hujson: a trading desk
+// with two day shifts, most of whose requests come at fixed gate closures, and reviews
+// at night.
 func Hinokuni() []Shape {
 	return []Shape{
 		{Prefix: "draft", Class: "trader", PerDay: 40, From: 7, To: 21, Scheduled: 0.8, BurstMean: 5},
@@ -43,10 +45,11 @@
 	}
 }
 
-// burstSpread is the time over which a burst's requests arrive.
+// burstSpread is the time within which the requests of a burst arrive.
 const burstSpread = 3 * time.Second
 
-// Generate draws the arrivals of some days. The same seed gives the same ones.
+// Generate returns random arrivals of some days, sorted by time. The same seed gives
+// the same arrivals.
 func Generate(b *bundle.Bundle, shapes []Shape, days int, seed uint64) []Arrival {
 	rng := Seeded(seed)
 	var list []Arrival
@@ -64,8 +67,9 @@
 	return list
 }
 
-// unit draws one unit's bursts: some at fixed minutes, the others anywhere in
-// the hours of the shape.
+// unit returns the arrivals of one unit. Its scheduled bursts come at the same times
+// each day, with a jitter of about a minute; the others come at random times within the
+// hours of the shape.
 func (s Shape) unit(rng *rand.Rand, name string, perDay float64, days int) []Arrival {
 	var list []Arrival
 	randomTime := func() time.Duration {
@@ -88,6 +92,7 @@
 	return list
 }
 
+// burst returns the arrivals of a burst that begins at a time: one request at least.
 func (s Shape) burst(rng *rand.Rand, name string, at time.Duration) []Arrival {
 	list := make([]Arrival, 1+poisson(rng, s.BurstMean-1))
 	for i := range list {
@@ -96,6 +101,7 @@
 	return list
 }
 
+// poisson returns a random number with a Poisson distribution.
 func poisson(rng *rand.Rand, mean float64) int {
 	limit, p, n := math.Exp(-mean), rng.Float64(), 0
 	for p > limit {
@@ -105,8 +111,9 @@
 	return n
 }
 
-// Overload draws requests at a multiple of a service's capacity for units that
-// are asked for all the time, half of each class.
+// Overload returns random arrivals over length at factor times a service's capacity, sorted
+// by time, if each request takes serviceTime. They are spread evenly over the units and
+// over the classes.
 func Overload(b *bundle.Bundle, service string, units, classes []string, factor float64, serviceTime, length time.Duration, seed uint64) []Arrival {
 	rng := Seeded(seed)
 	slots := 0
@@ -124,7 +131,8 @@
 	return list
 }
 
-// Fixed is the baseline of one idle time for all units.
+// Fixed is a placement policy with the same idle time for all units. It is a baseline
+// for learned policies.
 type Fixed time.Duration
 
 // Arrived implements placement.Policy.
@@ -136,5 +144,5 @@
 // Prewarm implements placement.Policy.
 func (Fixed) Prewarm(time.Time) []string { return nil }
 
-// Never is the idle time of the baselines that unload nothing by themselves.
+// Never is a baseline policy that never unloads a unit for being idle.
 const Never = Fixed(math.MaxInt64)
--- a/replay/replay.go
+++ b/replay/replay.go
@@ -1,7 +1,7 @@
 // Package replay runs seeded arrivals against the decision code itself
-// (placement, keep-alive, admission) in virtual time, with one small model of
-// the endpoints. It measures cold starts, idle accelerator hours and the worth
-// delivered. It is no simulator of the cluster: there is one coordinator, and
+// (placement, keep-alive, admission) in virtual time, with a simple model of the
+// endpoints. It measures cold starts, idle accelerator hours and the worth of the
+// served requests. It does not simulate a cluster: there is one coordinator, and
 // nothing fails.
 package replay
 
@@ -20,7 +20,7 @@
 // Admission is the order in which waiting requests are served.
 type Admission int
 
-// The orders.
+// The orders of service.
 const (
 	ByWorth Admission = iota
 	FirstComeFirstServed
@@ -35,37 +35,37 @@
 	Policy      placement.Policy
 	Eviction    placement.Eviction
 	Admission   Admission
-	ServiceTime time.Duration // time of one request at an engine
-	QueueLen    int
+	ServiceTime time.Duration // time that an engine takes for each request
+	QueueLen    int           // for each unit
 }
 
 // Arrival is one request.
 type Arrival struct {
-	At    time.Duration // from the start
+	At    time.Duration // since the start of the run
 	Unit  string
 	Class string
 }
 
-// ClassResult is what one class of callers got.
+// ClassResult counts the requests of one class of callers.
 type ClassResult struct {
 	Arrived, Served, Refused int
 }
 
-// Result is what one run measured.
+// Result holds the measurements of one run.
 type Result struct {
 	Requests  int
 	Served    int
 	Refused   int
 	Late      int             // answered after the deadline; must be 0
-	Cold      []time.Duration // waits of the requests that found their unit not ready, sorted
+	Cold      []time.Duration // waits of served requests whose unit was not ready when they arrived, sorted
 	Waits     []time.Duration // of all served requests, sorted
-	IdleHours float64         // accelerator hours of loaded replicas that served nothing
+	IdleHours float64         // accelerator hours of ready replicas without requests, each weighted by its share of the endpoint's memory
 	Loads     int
 	Worth     int64 // sum of the worth of served requests
 	Classes   map[string]ClassResult
 }
 
-// Quantile returns the q-quantile of sorted waits.
+// Quantile returns the q-quantile of sorted waits; zero if there are none.
 func Quantile(sorted []time.Duration, q float64) time.Duration {
 	if len(sorted) == 0 {
 		return 0
@@ -73,7 +73,7 @@
 	return sorted[min(len(sorted)-1, int(q*float64(len(sorted))))]
 }
 
-// Sum adds up waits.
+// Sum returns the sum of waits.
 func Sum(waits []time.Duration) time.Duration {
 	total := time.Duration(0)
 	for _, w := range waits {
@@ -82,23 +82,23 @@
 	return total
 }
 
-// tick is the step of virtual time while something happens.
+// tick is the step of virtual time while requests wait or run or models load.
 const tick = 250 * time.Millisecond
 
-// restTick is the step while nothing waits, runs or loads.
+// idleTick is the longest step of virtual time while the system is idle.
 const idleTick = 2 * time.Second
 
-// unitState is one unit at one endpoint.
+// unitState is the state of one unit at one endpoint.
 type unitState struct {
 	protocol.EngineUnit
-	readyAt time.Time
+	readyAt time.Time // end of the load
 }
 
 type endpoint struct {
 	conf    bundle.Endpoint
 	units   map[string]*unitState
 	running int
-	dirty   bool
+	dirty   bool // changed since the last reported state
 	version uint64
 }
 
@@ -134,7 +134,7 @@
 // start is a Monday, midnight UTC.
 var start = time.Date(2026, 11, 30, 0, 0, 0, 0, time.UTC)
 
-// Run replays the arrivals.
+// Run replays the arrivals, which must be sorted by time.
 func Run(opt Options) Result {
 	r := &run{
 		opt: opt, now: start, queues: map[string]*admission.Queue{}, requests: map[uint64]*request{},
@@ -231,7 +231,9 @@
 	}
 }
 
-// step lets one tick happen: ends, loads, decisions, starts.
+// step advances the system to the present time: it ends requests, completes loads,
+// makes and carries out decisions, starts requests and refuses those that cannot be
+// served in time.
 func (r *run) step() {
 	r.finish()
 	r.loading = 0
@@ -247,6 +249,7 @@
 	}
 }
 
+// finish ends the requests whose time is over.
 func (r *run) finish() {
 	r.active = slices.DeleteFunc(r.active, func(a running) bool {
 		if a.ends.After(r.now) {
@@ -262,6 +265,8 @@
 	})
 }
 
+// progress completes an endpoint's loads and unloads, and reports its state to the
+// placement machine if it has changed.
 func (r *run) progress(e *endpoint) {
 	for name, u := range e.units {
 		switch {
@@ -288,7 +293,8 @@
 	r.m.Step(r.now, placement.Observed{State: s, Fence: r.m.ClaimedFence(e.conf.Name), RequestedAt: r.now})
 }
 
-// decide gives the machine the demand and carries out what it asks for.
+// decide passes the demand to the placement machine and carries out the actions that
+// it returns.
 func (r *run) decide() {
 	demand := map[string]placement.Demand{}
 	for unit, q := range r.queues {
@@ -353,7 +359,8 @@
 	}}
 }
 
-// dispatch starts the best waiting request wherever a slot is free.
+// dispatch starts waiting requests, the best first, while there are free slots for
+// them.
 func (r *run) dispatch() {
 	for {
 		unit, ep := r.best()
@@ -376,7 +383,8 @@
 	}
 }
 
-// best finds the unit whose first request goes next, and its endpoint.
+// best returns the unit whose first request is to start next, and the endpoint for it;
+// a nil endpoint if no waiting request can start.
 func (r *run) best() (string, *endpoint) {
 	var unit string
 	var at *endpoint
@@ -415,7 +423,8 @@
 	r.res.Classes[req.Class] = c
 }
 
-// account adds up the part of each accelerator that idle replicas hold.
+// account adds the idle accelerator hours of a step: for each idle replica, its share of
+// the endpoint's memory.
 func (r *run) account(step time.Duration) {
 	for _, e := range r.endpoints {
 		for _, u := range e.units {
@@ -426,5 +435,5 @@
 	}
 }
 
-// Seeded returns a reproducible source.
+// Seeded returns a source of random numbers that depends on the seed only.
 func Seeded(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, seed+1)) }
--- a/replay/replay_test.go
+++ b/replay/replay_test.go
@@ -29,9 +29,10 @@
 	return Run(Options{Bundle: b, Service: service, Arrivals: arrivals, Length: day, Policy: p, Eviction: e, ServiceTime: 2 * time.Second, QueueLen: 256})
 }
 
-// The learned policy stays better than fixed idle times on one measure without
-// being worse on the other, and cold starts and idle hours stay within bounds,
-// in virtual time.
+// The cold starts of the learned keep-alive policy, their 99th percentile and the idle hours
+// stay within bounds, in virtual time, and no request is answered late or lost. The policy
+// should be better than a fixed idle time on one measure without being worse on the other;
+// the figures of both are logged.
 func TestPolicyBounds(t *testing.T) {
 	cases := []struct {
 		file, service string
@@ -55,7 +56,7 @@
 		t.Logf("%s: learned %d cold, p99 %s, %.1f idle hours; fixed %s: %d cold, p99 %s, %.1f idle hours", c.file,
 			len(learned.Cold), Quantile(learned.Cold, 0.99), learned.IdleHours, c.fixed, len(fixed.Cold), Quantile(fixed.Cold, 0.99), fixed.IdleHours)
 		if len(learned.Cold) > c.maxCold || Quantile(learned.Cold, 0.99) > c.maxTail || learned.IdleHours > c.maxIdle {
-			t.Errorf("%s: over the bounds", c.file)
+			t.Errorf("%s: the learned policy exceeds the bounds", c.file)
 		}
 		if learned.Late > 0 || learned.Served+learned.Refused != learned.Requests {
 			t.Errorf("%s: %d late, %d served and %d refused of %d", c.file, learned.Late, learned.Served, learned.Refused, learned.Requests)
@@ -63,11 +64,11 @@
 	}
 }
 
-// At twice the capacity, order of worth delivers more worth than first come
-// first served, and nothing is answered late.
+// At twice the capacity, serving by worth delivers more worth than first come, first
+// served, and no request is answered late.
 func TestOverloadDeliversWorth(t *testing.T) {
-	// Hinokuni's reviews weigh most and can wait ten minutes, so that most of
-	// them are served in any order after the overload.
+	// Reviews have the highest worth of the classes of hinokuni.hujson and can wait
+	// ten minutes, so most of them are served after the overload in either order.
 	for _, c := range []struct {
 		file, service string
 		leastGain     float64
