--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -41,12 +41,12 @@
 func difference() time.Duration {
 	best := time.Duration(0)
 	shortest := time.Duration(-1)
-	for range readings {
+	for range maxReadings {
 		before, boot, after := read(unix.CLOCK_MONOTONIC), read(unix.CLOCK_BOOTTIME), read(unix.CLOCK_MONOTONIC)
 		if took := after - before; shortest < 0 || took < shortest {
 			shortest, best = took, boot-before-took/2
 		}
-		if shortest < noise/readings {
+		if shortest < noise/maxReadings {
 			break
 		}
 	}
@@ -54,7 +54,7 @@
 }
 
 // readings bounds the tries to read both clocks without a pause in between.
-const readings = 3
+const maxReadings = 3
 
 // read returns a clock's time; both are there on every system that this runs on.
 func read(id int32) time.Duration {
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -6,7 +6,7 @@
 )
 
 // A machine that is not suspended has both clocks alike, however busy it is.
-func TestNothingIsSuspendedHere(t *testing.T) {
+func TestNoSuspensionIsReported(t *testing.T) {
 	for range 1000 {
 		if s := Suspended(); s != 0 {
 			t.Fatalf("suspended for %v", s)
