--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,7 +1,7 @@
-// Package clock tells a time that goes on while the host is suspended. Go's monotonic
-// clock, on which time.Now, timers and deadlines run, stands still then: after ten
-// seconds of suspension a lease that has lapsed would still look valid, and what was
-// heard would look young.
+// Package clock provides a time that advances while the host is suspended. Go's monotonic
+// clock, which time.Now, timers and deadlines use, stops then: after a suspension of ten
+// seconds, an expired lease would still appear valid, and updates received before it
+// would appear recent.
 package clock
 
 import (
@@ -10,21 +10,21 @@
 	"golang.org/x/sys/unix"
 )
 
-// Clock returns the present time. Tests that suspend a host give their own.
+// Clock returns the present time. Tests of suspended hosts provide their own.
 type Clock func() time.Time
 
-// Now is time.Now, later by all the time that the host has been suspended since this
-// process started. Times of both may be compared only where that difference does no harm.
+// Now returns time.Now plus the time that the host has been suspended since this process
+// started. Compare times of Now and time.Now only where that difference is harmless.
 func Now() time.Time { return time.Now().Add(Suspended()) }
 
-// Since is time.Since by this clock.
+// Since returns the time elapsed since at, a time of Now.
 func Since(at time.Time) time.Duration { return Now().Sub(at) }
 
-// atStart is what the two clocks of the system differed by as this process started.
+// atStart is the difference between the system's two clocks when this process started.
 var atStart = difference()
 
-// noise is how much the difference may seem to change between two readings of each clock
-// when nothing was suspended: the process may lose the processor in between.
+// noise bounds the apparent change of the difference without a suspension: the process may
+// be descheduled between readings of the two clocks.
 const noise = 20 * time.Millisecond
 
 // Suspended returns how long the host has been suspended since this process started.
@@ -36,8 +36,9 @@
 	return d
 }
 
-// difference returns by how much CLOCK_BOOTTIME is ahead of CLOCK_MONOTONIC. The one is
-// read between two readings of the other, so that a pause in between shows.
+// difference returns by how much CLOCK_BOOTTIME is ahead of CLOCK_MONOTONIC. It reads
+// CLOCK_BOOTTIME between two readings of CLOCK_MONOTONIC, which show a pause in between, and
+// uses the attempt with the shortest pause.
 func difference() time.Duration {
 	best := time.Duration(0)
 	shortest := time.Duration(-1)
@@ -53,10 +54,11 @@
 	return best
 }
 
-// readings bounds the tries to read both clocks without a pause in between.
+// maxReadings bounds the attempts to read both clocks without a pause in between.
 const maxReadings = 3
 
-// read returns a clock's time; both are there on every system that this runs on.
+// read returns the time of a system clock. It panics if there is no such clock; both
+// exist on all supported systems.
 func read(id int32) time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(id, &t); err != nil {
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// A machine that is not suspended has both clocks alike, however busy it is.
+// On a host that is not suspended the two clocks do not diverge, even under load.
 func TestNoSuspensionIsReported(t *testing.T) {
 	for range 1000 {
 		if s := Suspended(); s != 0 {
-			t.Fatalf("suspended for %v", s)
+			t.Fatalf("Suspended() = %v on a host that is not suspended", s)
 		}
 	}
 	if d := time.Until(Now()); d > time.Second || d < -time.Second {
-		t.Fatalf("differs by %v", d)
+		t.Fatalf("Now differs from time.Now by %v", d)
 	}
 }
 
--- a/internal/fixedseed/fixedseed.go
+++ b/internal/fixedseed/fixedseed.go
@@ -1,5 +1,5 @@
-// Package fixedseed gives the property tests the same random cases at each
-// run, so that their verdict does not change.
+// Package fixedseed runs property tests with the same random cases each time, so
+// that their result does not change between runs.
 package fixedseed
 
 import (
@@ -8,8 +8,9 @@
 	"testing"
 )
 
-// Main runs a package's tests with a fixed seed and number of random cases for
-// rapid. Flags on the command line go first.
+// Main runs a package's tests with a fixed seed and the given number of random
+// cases for the rapid library, and exits. Flags on the command line take
+// precedence.
 func Main(m *testing.M, checks string) {
 	flag.Parse()
 	given := map[string]bool{}
--- a/internal/syncbuf/syncbuf.go
+++ b/internal/syncbuf/syncbuf.go
@@ -1,4 +1,5 @@
-// Package syncbuf has a buffer that a test can read while others write to it.
+// Package syncbuf provides a buffer that a test can read while other goroutines write
+// to it.
 package syncbuf
 
 import (
@@ -6,7 +7,7 @@
 	"sync"
 )
 
-// Buffer is safe for concurrent use.
+// Buffer is a byte buffer. It is safe for concurrent use, and the zero value is empty.
 type Buffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -19,7 +20,7 @@
 	return b.b.Write(p)
 }
 
-// String returns what was written so far.
+// String returns the bytes written so far.
 func (b *Buffer) String() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/wake/wake.go
+++ b/internal/wake/wake.go
@@ -1,11 +1,11 @@
-// Package wake wakes a goroutine that waits on a channel.
+// Package wake wakes a goroutine that receives from a channel.
 package wake
 
-// Once leaves one wake-up in a channel with room for one: however often it is called before
-// the other side looks, that one wakes once.
+// Once sends a wake-up to c without blocking. c must have a buffer of one: calls before the
+// receiver takes the wake-up are merged into one.
 func Once(c chan<- struct{}) {
 	select {
 	case c <- struct{}{}:
-	default: // it will wake
+	default: // a wake-up is already pending
 	}
 }
