--- a/daemon/edgedaemon/daemon.go
+++ b/daemon/edgedaemon/daemon.go
@@ -1,5 +1,5 @@
-// Package edgedaemon puts the parts of one doorvalved process together that
-// takes its desired state and endpoints from the platform's store.
+// Package edgedaemon assembles a doorvalved process that reads its desired
+// state and its endpoints from the platform's store.
 package edgedaemon
 
 import (
@@ -50,43 +50,48 @@
 )
 
 const (
-	// engineTimeout bounds each order and report: engines are a millisecond
-	// away and answer at once.
+	// engineTimeout bounds each order to an engine and each report that it
+	// returns: engines are a millisecond away and answer at once.
 	engineTimeout = 300 * time.Millisecond
-	// metricsEvery is how often counters are handed to the reporter.
-	metricsEvery = 5 * time.Second
-	// retryPart keeps the daemons together below the bound on retries, since
-	// each knows only its own requests.
-	retryPart = 0.85
-	// memoryPart is the part of the memory limit at which the collector works
-	// harder; the rest is for what it does not count.
-	memoryPart = 0.6
-	// collectAt is the growth of the heap, in percent, between two
-	// collections.
-	collectAt = 100
-	// flushPart is the part of the time that an event may take through the
-	// daemon for which events are gathered.
-	flushPart = 0.4
-	// requestsPerDescriptor: a request needs one connection to its caller and
-	// one to its endpoint, beside those that are idle.
+	// metricsInterval is how often metrics are passed to the reporter.
+	metricsInterval = 5 * time.Second
+	// retryShare is the share of the allowed retries that daemons use. The
+	// margin keeps all daemons together below the bound, since each one counts
+	// only its own requests.
+	retryShare = 0.85
+	// memoryShare is the share of the process's memory limit that is set as
+	// the soft limit of the garbage collector. The rest is for memory that the
+	// collector does not count.
+	memoryShare = 0.6
+	// gcPercent is the growth of the heap, in percent, that starts the next
+	// garbage collection.
+	gcPercent = 100
+	// flushShare is the share of the time that a stream's event may take
+	// through the daemon (settings: timing.pass) for which events are buffered
+	// before they are written.
+	flushShare = 0.4
+	// requestsPerDescriptor is the number of requests accepted at once for each
+	// file descriptor: a request needs a connection to its caller and one to its
+	// endpoint, and idle connections take descriptors too.
 	requestsPerDescriptor = 0.3
 )
 
-// Daemon is one process.
+// Daemon is one doorvalved process.
 type Daemon struct {
 	set   settings.Edge
 	log   *decisions.Log
 	self  string
 	store *platform.Store
-	// generations keeps the highest generation of the store that was heard of.
+	// generations tracks the highest generation of the store that this daemon
+	// has received, from the store or from peers.
 	generations *generations.Tracker
 	view        *storeview.View
 	gossip      *gossip.Gossip
 	peers       *peers.Client
 	balancer    *balance.Balancer
 	budget      *retry.Budget
-	keeper      *quarantiner.Controller
-	shares      *quotas.Controller
+	quarantine  *quarantiner.Controller
+	quotas      *quotas.Controller
 	throttle    *throttle.Controller
 	callers     *edge.Server
 	metrics     tally.Scope
@@ -95,33 +100,34 @@
 	engines     *platform.EngineClient
 
 	listeners listeners
-	// callerServer is shut down gracefully; the others end with the process.
+	// callerServer is shut down gracefully; the other servers are closed when
+	// Run returns.
 	callerServer *http.Server
 
 	mu           sync.Mutex
 	coordinators map[string]*coordinator.Coordinator
 	fleets       *peers.Clients[fleetpb.Fleet]
 	runCtx       context.Context
-	stopping     atomic.Pointer[time.Time] // when the stop began; nil while serving
-	stopped      chan struct{}             // closed then
-	lastSent     map[string]int
-	lists        endpointLists // only runDemand uses them
+	stopStarted  atomic.Pointer[time.Time] // when the shutdown began; nil before that
+	stopped      chan struct{}             // closed when the shutdown begins
+	lastSent     map[string]int            // active models in the last demand message, by service; only runDemand uses it
+	lists        endpointLists             // only runDemand uses it
 	holders      holderHealth
 	vacancies    vacancies
 }
 
 type listeners struct{ callers, directory, readiness, peers, metrics net.Listener }
 
-// New returns a daemon with its listeners open.
+// New returns a daemon with its listeners open. Run serves them.
 func New(set settings.Edge, log *decisions.Log) (*Daemon, error) {
-	debug.SetGCPercent(collectAt)
-	debug.SetMemoryLimit(int64(float64(set.Limits.MemoryMB<<20) * memoryPart))
-	said := backpressure.New(backpressure.Options{LeaveWithin: set.Timing.LeaveWithin.D(), Seed: uint64(time.Now().UnixNano())})
+	debug.SetGCPercent(gcPercent)
+	debug.SetMemoryLimit(int64(float64(set.Limits.MemoryMB<<20) * memoryShare))
+	tracker := backpressure.New(backpressure.Options{LeaveWithin: set.Timing.LeaveWithin.D(), Seed: uint64(time.Now().UnixNano())})
 	d := &Daemon{
 		set: set, log: log, self: set.Host + "-" + nonce(), coordinators: map[string]*coordinator.Coordinator{},
 		lastSent: map[string]int{}, stopped: make(chan struct{}),
-		peers: peers.NewClient(""), balancer: balance.New(set.FailureDomain, uint64(time.Now().UnixNano()), said),
-		budget:    retry.NewEarnedBudget(set.Retries.Ratio * retryPart),
+		peers: peers.NewClient(""), balancer: balance.New(set.FailureDomain, uint64(time.Now().UnixNano()), tracker),
+		budget:    retry.NewEarnedBudget(set.Retries.Ratio * retryShare),
 		vacancies: vacancies{takeover: coordinator.TakeoverTime(set.Timing.OrderGap.D())},
 	}
 	d.fleets = d.peers.Fleets()
@@ -131,34 +137,34 @@
 	d.reporter = promreporter.NewReporter(promreporter.Options{Registerer: prometheus.NewRegistry()})
 	d.metrics, d.closer = tally.NewRootScope(tally.ScopeOptions{
 		Prefix: "doorvalve", CachedReporter: d.reporter, Separator: promreporter.DefaultSeparator, OmitCardinalityMetrics: true,
-	}, metricsEvery)
+	}, metricsInterval)
 	d.shareRetries(1)
 	d.generations = generations.New(log, d.metrics)
 	d.store = platform.NewStore(set.Store.Address, set.Store.Timeout.D(), d.generations, d.metrics)
-	d.engines = platform.NewEngineClient(engineTimeout, d.engineSaid)
+	d.engines = platform.NewEngineClient(engineTimeout, d.observeEngineAnswer)
 	d.view = storeview.New(storeview.Options{
 		Store: d.store, Decode: platform.DecodeDesiredState, Log: log, Self: d.self, Peer: d.anyPeer, Upstreams: d.upstreams,
 		PropagationBound: min(set.Timing.LeaveWithin.D(), set.Timing.ApplyWithin.D()), Heartbeat: set.Timing.EndpointHeartbeat.D(), Generations: d.generations, Metrics: d.metrics,
 	})
-	d.view.OnChange(d.changed)
+	d.view.OnChange(d.applyView)
 	d.gossip = gossip.New(hclog.NewNullLogger(), d.peers, d.seeds, gossip.Options(staleFact), d.member())
-	d.keeper = quarantiner.New(quarantiner.Options{
-		Self: d.self, Members: d.alive, Peer: d.peers.Quarantines().To, Endpoint: d.endpointState, OnCrash: func(life fleet.Incarnation) { d.balancer.MarkUnreachable(clock.Now(), life) }, Store: d.store, Generations: d.generations, Log: log, Metrics: d.metrics,
+	d.quarantine = quarantiner.New(quarantiner.Options{
+		Self: d.self, Members: d.alive, Peer: d.peers.Quarantines().To, Endpoint: d.endpointState, OnCrash: func(incarnation fleet.Incarnation) { d.balancer.MarkUnreachable(clock.Now(), incarnation) }, Store: d.store, Generations: d.generations, Log: log, Metrics: d.metrics,
 	})
-	d.shares = quotas.New(quotas.Options{
+	d.quotas = quotas.New(quotas.Options{
 		Self: d.self, Bounds: quota.Bounds{Window: set.Quotas.Window.D(), Overage: set.Quotas.Overage, Slack: set.Quotas.Slack, NewOwnerShare: quota.DefaultNewOwnerShare},
-		Members: d.gossip.Members, Revision: d.gossip.Revision, Directory: d.workspaces, Listed: d.endpointListed, Publish: d.gossip.Set, OnLimitChange: d.endpointLimited, Store: d.store, Generations: d.generations, Peer: d.peers.Quotas().To, Log: log, Metrics: d.metrics,
+		Members: d.gossip.Members, Revision: d.gossip.Revision, Directory: d.workspaces, Listed: d.endpointListed, Publish: d.gossip.Set, OnLimitChange: d.setEndpointLimit, Store: d.store, Generations: d.generations, Peer: d.peers.Quotas().To, Log: log, Metrics: d.metrics,
 	})
 	d.throttle = throttle.New(throttle.Options{
-		Self: d.self, Tracker: said, Limits: d.shares.Endpoints(), LastReady: d.endpointReadyAt, Daemons: func() int { return len(d.alive()) }, Listed: d.endpointListed, OnLeaving: d.view.ObserveLeaving, Publish: d.gossip.Set, Log: log, Metrics: d.metrics,
+		Self: d.self, Tracker: tracker, Limits: d.quotas.Endpoints(), LastReady: d.endpointLastReady, Daemons: func() int { return len(d.alive()) }, Listed: d.endpointListed, OnLeaving: d.view.ObserveLeaving, Publish: d.gossip.Set, Log: log, Metrics: d.metrics,
 	})
-	d.gossip.OnFact(d.shares.Endpoints().ReceiveFact)
+	d.gossip.OnFact(d.quotas.Endpoints().ReceiveFact)
 	d.gossip.OnFact(d.throttle.ReceiveFact)
 	d.callers = edge.New(edge.Options{
-		StateAge: d.stateAge, Access: access.Bounds{Apply: set.Timing.ApplyWithin.D(), Revoke: set.Timing.RevokeWithin.D()}, Quotas: d.shares, Throttle: d.throttle,
-		Table: d.view.Table, View: d.view.Endpoints, ViewAge: d.endpointsAge, Draining: d.draining, DrainDeadline: d.ends, Dialect: platform.Dialect{}, Locator: d, Balancer: d.balancer,
-		Budget: d.budget, Quarantine: d.keeper, Log: log, Metrics: d.metrics,
-		FlushEvery:  time.Duration(float64(set.Timing.Pass.D()) * flushPart),
+		StateAge: d.stateAge, Access: access.Bounds{Apply: set.Timing.ApplyWithin.D(), Revoke: set.Timing.RevokeWithin.D()}, Quotas: d.quotas, Throttle: d.throttle,
+		Table: d.view.Table, View: d.view.Endpoints, ViewAge: d.endpointsAge, Draining: d.draining, DrainDeadline: d.deadline, Dialect: platform.Dialect{}, Locator: d, Balancer: d.balancer,
+		Budget: d.budget, Quarantine: d.quarantine, Log: log, Metrics: d.metrics,
+		FlushEvery:  time.Duration(float64(set.Timing.Pass.D()) * flushShare),
 		Connections: int64(float64(set.Limits.Descriptors) * requestsPerDescriptor),
 	})
 	return d, nil
@@ -195,8 +201,9 @@
 	return membership.Member{ID: d.self, Host: d.set.Host, FailureDomain: d.set.FailureDomain, CallerAddress: d.set.Listen.Callers, PeerAddress: d.set.Listen.Peers, Capacity: d.set.Limits.Capacity()}
 }
 
-// seeds returns the peers to join by: those of the settings and the holders of
-// the leases that were read.
+// seeds returns the addresses of the peers through which to join the
+// membership: the seeds of the settings and the holders of the leases that this
+// daemon has read.
 func (d *Daemon) seeds(context.Context) []string {
 	list := append([]string(nil), d.set.Peers.Seeds...)
 	d.mu.Lock()
@@ -209,8 +216,9 @@
 	return list
 }
 
-// changed brings a new desired state or new endpoints to the coordinators.
-func (d *Daemon) changed() {
+// applyView passes a changed desired state and endpoint view to the balancer
+// and to the coordinators.
+func (d *Daemon) applyView() {
 	table, view := d.view.Table(), d.view.Endpoints()
 	d.balancer.Retain(view)
 	if table == nil {
@@ -227,16 +235,17 @@
 	}
 }
 
-// announceState tells the others, once, that this daemon has a desired state
-// and so can serve. Later versions are not told: each would send an entry of
-// every member to every member.
+// announceState publishes, once, that this daemon has a desired state and can
+// serve. Later versions are not published: each one would send a record of every
+// member to every other member.
 func (d *Daemon) announceState(version uint64) {
 	if d.gossip.Self().Generation == 0 {
 		d.gossip.Update(func(m *membership.Member) { m.Generation = version })
 	}
 }
 
-// coordinatorFor returns a service's coordinator.
+// coordinatorFor returns this daemon's coordinator of a service, and creates it
+// on first use.
 func (d *Daemon) coordinatorFor(service string) *coordinator.Coordinator {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -247,10 +256,10 @@
 	c = coordinator.New(coordinator.Options{
 		Service: service, Self: d.set.Listen.Peers, Lease: leaserelay.New(d.store, d.leasePeers, d.generations, d.log), Engines: d.engines, OrderGap: d.set.Timing.OrderGap.D(),
 		Planner:   residency.Options{InitialStoreConcurrency: d.set.Loads.AtOnce, RateWindow: d.set.Loads.Window.D(), RateFactor: d.set.Loads.Factor},
-		Candidate: d.candidate, OnLeaseChange: d.holderChanged, PeerState: d.leaseHeard, FirstStart: d.set.FirstStart, StoreConcurrency: d.storePlaces, OnStoreConcurrency: d.storePlacesLearned, Log: d.log, Metrics: d.metrics,
+		Candidate: d.candidate, OnLeaseChange: d.publishHolder, PeerState: d.leasePeerState, FirstStart: d.set.FirstStart, StoreConcurrency: d.storeConcurrency, OnStoreConcurrency: d.publishStoreConcurrency, Log: d.log, Metrics: d.metrics,
 	})
-	for life, w := range d.shares.Endpoints().Limited() {
-		c.SetLimit(life, w)
+	for incarnation, report := range d.quotas.Endpoints().Limited() {
+		c.SetLimit(incarnation, report)
 	}
 	d.coordinators[service] = c
 	if d.runCtx != nil {
@@ -259,13 +268,14 @@
 	return c
 }
 
-// errStopped ends the run group after a complete shutdown.
+// errStopped ends the run group after a graceful shutdown.
 var errStopped = errors.New("shutdown complete")
 
-// IsStopped reports whether err is the end of a graceful shutdown.
+// IsStopped reports whether err, returned by Run, means that a graceful shutdown
+// is complete.
 func IsStopped(err error) bool { return errors.Is(err, errStopped) }
 
-// Run serves until the shutdown is complete or ctx ends.
+// Run serves until a graceful shutdown is complete or ctx ends.
 func (d *Daemon) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -282,7 +292,7 @@
 		d.addServer(&g, d.listeners.metrics, d.reporter.HTTPHandler())
 	}
 	for _, actor := range []func(context.Context) error{
-		d.gossip.Run, d.view.RunDesiredState, d.view.RunEndpoints, d.view.RunRelay, d.view.RunCatchUp, d.view.RunPeers, d.keeper.Run, d.shares.Run, d.throttle.Run, d.runGauges, d.runDemand, d.runStop,
+		d.gossip.Run, d.view.RunDesiredState, d.view.RunEndpoints, d.view.RunRelay, d.view.RunCatchUp, d.view.RunPeers, d.quarantine.Run, d.quotas.Run, d.throttle.Run, d.runGauges, d.runDemand, d.runStop,
 	} {
 		actorCtx, stop := context.WithCancel(ctx)
 		g.Add(func() error { return actor(actorCtx) }, func(error) { stop() })
@@ -295,44 +305,45 @@
 }
 
 const (
-	// callerHeaderTimeout bounds the reading of a request's header.
+	// callerHeaderTimeout bounds the time to read a request's header.
 	callerHeaderTimeout = 5 * time.Second
-	// callerIdleTimeout is how long an idle connection of a caller is kept,
-	// longer than callers are told to keep theirs.
+	// callerIdleTimeout is how long an idle connection of a caller is kept:
+	// longer than callers are told to keep theirs, so that the callers close them.
 	callerIdleTimeout = 75 * time.Second
-	// maxHeaderBytes bounds a request's header.
+	// maxHeaderBytes bounds the size of a request's header.
 	maxHeaderBytes = 32 << 10
 )
 
-// addServer adds an actor that serves a listener.
+// addServer adds an actor to g that serves a listener.
 func (d *Daemon) addServer(g *run.Group, l net.Listener, h http.Handler) *http.Server {
 	srv := &http.Server{
 		Handler: h, MaxHeaderBytes: maxHeaderBytes, ReadHeaderTimeout: callerHeaderTimeout, IdleTimeout: callerIdleTimeout,
 		ErrorLog: d.log.StandardLogger(&hclog.StandardLoggerOptions{ForceLevel: hclog.Debug}),
 	}
-	over := make(chan struct{})
+	interrupted := make(chan struct{})
 	g.Add(func() error {
 		err := srv.Serve(l)
 		if !errors.Is(err, http.ErrServerClosed) {
 			return err
 		}
-		// A graceful shutdown ends Serve at once; the group must go on until
-		// the requests in progress are finished.
-		<-over
+		// Serve returns as soon as a graceful shutdown begins. This actor must
+		// not end then, since that would end the group while requests are in
+		// progress.
+		<-interrupted
 		return nil
 	}, func(error) {
-		close(over)
+		close(interrupted)
 		_ = srv.Close()
 	})
 	return srv
 }
 
-// peerHandler serves the other daemons.
+// peerHandler returns the handler of requests from other daemons.
 func (d *Daemon) peerHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle(fleetpb.FleetPathPrefix, fleetpb.NewFleetServer((*fleetServer)(d)))
-	mux.Handle(quarantinepb.QuarantinePathPrefix, quarantinepb.NewQuarantineServer(d.keeper))
-	mux.Handle(quotapb.QuotasPathPrefix, quotapb.NewQuotasServer(d.shares))
+	mux.Handle(quarantinepb.QuarantinePathPrefix, quarantinepb.NewQuarantineServer(d.quarantine))
+	mux.Handle(quotapb.QuotasPathPrefix, quotapb.NewQuotasServer(d.quotas))
 	mux.Handle(peerpb.PeerPathPrefix, peerpb.NewPeerServer(&gossipServer{gossip: d.gossip}))
 	return mux
 }
--- a/daemon/edgedaemon/leases.go
+++ b/daemon/edgedaemon/leases.go
@@ -9,33 +9,34 @@
 	"github.com/doorvalve/doorvalve/protocol/fleetpb"
 )
 
-// leasePeers returns some of the other daemons, at random, as ways to the
-// store.
-func (d *Daemon) leasePeers(most int) []leaserelay.Peer {
+// leasePeers returns up to limit other daemons, chosen at random, through which
+// leases can be read and written when the store does not answer this daemon.
+func (d *Daemon) leasePeers(limit int) []leaserelay.Peer {
 	members := d.alive()
 	rand.Shuffle(len(members), func(i, j int) { members[i], members[j] = members[j], members[i] })
 	var list []leaserelay.Peer
 	for _, m := range members {
-		if len(list) < most && m.ID != d.self {
+		if len(list) < limit && m.ID != d.self {
 			list = append(list, d.fleet(m.PeerAddress))
 		}
 	}
 	return list
 }
 
-// leaseServer reads and writes leases for other daemons.
+// leaseServer returns a server that reads and writes leases in the store for
+// other daemons.
 func (d *Daemon) leaseServer() leaserelay.Server {
 	return leaserelay.Server{Store: d.store, Generations: d.generations}
 }
 
-// leaseHeard returns what this daemon has heard of the store's generation and of the fences of a
-// service's lease.
-func (d *Daemon) leaseHeard(service string) lease.PeerState {
-	h := lease.PeerState{Generation: d.generations.Highest()}
+// leasePeerState returns the highest generation of the store and the highest fence of a service's
+// lease that this daemon has received from peers.
+func (d *Daemon) leasePeerState(service string) lease.PeerState {
+	state := lease.PeerState{Generation: d.generations.Highest()}
 	if e, ok := d.gossip.Get(holderPrefix + service); ok {
-		h.Fence = e.Version
+		state.Fence = e.Version
 	}
-	return h
+	return state
 }
 
 // ReadLease implements fleetpb.Fleet.
--- a/daemon/edgedaemon/running.go
+++ b/daemon/edgedaemon/running.go
@@ -13,83 +13,87 @@
 	"github.com/doorvalve/doorvalve/state/fleet"
 )
 
-// What runs at each endpoint goes to all daemons several times a second: a byte for each
-// endpoint, in the order of their ids, beside a name of that list. Both sides have the
-// list from the store. At 600 endpoints and residency.TellSoon, that is 0.2 MB a second
-// for the coordinator, whatever the number of daemons.
+// A coordinator sends the number of requests at each endpoint to all daemons several times
+// a second. The message has one byte for each endpoint, in the order of their ids, and a
+// hash of that list of endpoints. Both sides have the list from the store. With 600
+// endpoints and the interval of residency.DemandDelay, the coordinator sends 0.2 MB a
+// second, whatever the number of daemons.
 
-// mostRunning is the largest count that is told; more is told as this.
-const mostRunning = 255
+// maxRunning is the largest count that a message can hold; larger counts are sent as
+// maxRunning.
+const maxRunning = 255
 
-// packRunning encodes what runs at each endpoint, sorted by id.
+// packRunning encodes the number of requests at each endpoint. list must be sorted by id.
 func packRunning(list []residency.Running) *fleetpb.DemandResponse {
 	counts := make([]byte, len(list))
-	name := xxhash.New()
+	hash := xxhash.New()
 	for i, r := range list {
-		counts[i] = byte(min(mostRunning, max(0, r.Requests)))
-		addLife(name, r.Endpoint)
+		counts[i] = byte(min(maxRunning, max(0, r.Requests)))
+		hashIncarnation(hash, r.Endpoint)
 	}
-	return &fleetpb.DemandResponse{Endpoints: name.Sum64(), Running: counts}
+	return &fleetpb.DemandResponse{Endpoints: hash.Sum64(), Running: counts}
 }
 
-func addLife(name *xxhash.Digest, life fleet.Incarnation) {
-	var born [8]byte
-	binary.LittleEndian.PutUint64(born[:], uint64(life.StartUnixMs))
-	_, _ = name.WriteString(life.ID) // never fails
-	_, _ = name.Write(born[:])       // never fails
+func hashIncarnation(hash *xxhash.Digest, incarnation fleet.Incarnation) {
+	var start [8]byte
+	binary.LittleEndian.PutUint64(start[:], uint64(incarnation.StartUnixMs))
+	_, _ = hash.WriteString(incarnation.ID) // never fails
+	_, _ = hash.Write(start[:])             // never fails
 }
 
-// listsKept is the number of lists of endpoints that are remembered: a coordinator may
-// be some changes ahead or behind.
-const listsKept = 8
+// maxLists is the number of endpoint lists that are kept: the coordinator's list may be some
+// changes newer or older than this daemon's.
+const maxLists = 8
 
-// endpointLists remembers lists of endpoints by their names. It is not safe for
-// concurrent use.
+// endpointLists holds the latest endpoint lists with their hashes. The zero value is
+// ready to use. It is not safe for concurrent use.
 type endpointLists struct {
 	lists []endpointList // newest last
 }
 
 type endpointList struct {
-	name  uint64
-	lives []fleet.Incarnation
+	hash         uint64
+	incarnations []fleet.Incarnation
 }
 
-// running decodes what a coordinator tells, by the present list of endpoints, sorted by
-// id, or one of those before; nil if it is of none of them.
-func (l *endpointLists) running(present []*fleet.Endpoint, resp *fleetpb.DemandResponse) []residency.Running {
-	l.remember(present)
+// unpackRunning decodes a coordinator's message with the endpoint list that it was encoded
+// with: present, which must be sorted by id, or an earlier list. It returns nil if that list
+// is not known here.
+func (l *endpointLists) unpackRunning(present []*fleet.Endpoint, resp *fleetpb.DemandResponse) []residency.Running {
+	l.add(present)
 	i := slices.IndexFunc(l.lists, func(e endpointList) bool {
-		return e.name == resp.Endpoints && len(e.lives) == len(resp.Running)
+		return e.hash == resp.Endpoints && len(e.incarnations) == len(resp.Running)
 	})
 	if i < 0 {
 		return nil
 	}
 	list := make([]residency.Running, len(resp.Running))
 	for at, n := range resp.Running {
-		list[at] = residency.Running{Endpoint: l.lists[i].lives[at], Requests: int(n)}
+		list[at] = residency.Running{Endpoint: l.lists[i].incarnations[at], Requests: int(n)}
 	}
 	return list
 }
 
-func (l *endpointLists) remember(present []*fleet.Endpoint) {
+func (l *endpointLists) add(present []*fleet.Endpoint) {
 	digest := xxhash.New()
-	lives := make([]fleet.Incarnation, len(present))
+	incarnations := make([]fleet.Incarnation, len(present))
 	for i, e := range present {
-		lives[i] = e.Incarnation()
-		addLife(digest, lives[i])
+		incarnations[i] = e.Incarnation()
+		hashIncarnation(digest, incarnations[i])
 	}
-	name := digest.Sum64()
-	l.lists = slices.DeleteFunc(l.lists, func(e endpointList) bool { return e.name == name })
-	l.lists = append(l.lists, endpointList{name, lives})
-	if len(l.lists) > listsKept {
+	hash := digest.Sum64()
+	l.lists = slices.DeleteFunc(l.lists, func(e endpointList) bool { return e.hash == hash })
+	l.lists = append(l.lists, endpointList{hash, incarnations})
+	if len(l.lists) > maxLists {
 		l.lists = slices.Delete(l.lists, 0, 1)
 	}
 }
 
-// toldRunning takes what runs at the endpoints of a service, with mine of it by this
-// daemon. What the others have told is half as old as the time between two of their
-// words, on average; alive is their number.
-func (d *Daemon) toldRunning(service string, list []residency.Running, mine balance.Running, alive int) {
+// receiveRunning passes the number of requests at the endpoints of a service to the balancer.
+// mine is this daemon's part of them. The counts that the coordinator has of each daemon are
+// on average half a reporting interval old; alive, the number of daemons, determines that
+// interval.
+func (d *Daemon) receiveRunning(service string, list []residency.Running, mine balance.Running, alive int) {
 	if list == nil {
 		return
 	}
@@ -97,6 +101,6 @@
 	for _, r := range list {
 		all[r.Endpoint] = r.Requests
 	}
-	each := max(residency.DemandInterval, residency.DemandDelay(alive))
-	d.balancer.ReceiveRunning(service, clock.Now().Add(-each/2), all, mine)
+	interval := max(residency.DemandInterval, residency.DemandDelay(alive))
+	d.balancer.ReceiveRunning(service, clock.Now().Add(-interval/2), all, mine)
 }
