--- a/cmd/doorvalved/edge.go
+++ b/cmd/doorvalved/edge.go
@@ -11,10 +11,10 @@
 	"github.com/doorvalve/doorvalve/settings"
 )
 
-// edgeCmd serves with desired state and endpoints from the platform's store.
+// edgeCmd runs the daemon with the desired state and the endpoints that the platform's store holds.
 type edgeCmd struct{}
 
-// Run serves.
+// Run starts the daemon and blocks until it has stopped.
 func (*edgeCmd) Run(c *cli) error {
 	set, err := settings.LoadEdge(c.Settings)
 	if err != nil {
@@ -29,7 +29,7 @@
 	return serve(d, edgedaemon.IsStopped, syscall.SIGHUP, func() { reload(d, log, c.Settings) })
 }
 
-// reload reads the settings again.
+// reload applies the settings file again. The daemon keeps its settings if the file has errors.
 func reload(d *edgedaemon.Daemon, log *decisions.Log, file string) {
 	set, err := settings.LoadEdge(file)
 	if err != nil {
--- a/cmd/doorvalved/main.go
+++ b/cmd/doorvalved/main.go
@@ -1,4 +1,4 @@
-// Command doorvalved is the daemon of doorvalve. It runs on every entry host.
+// Command doorvalved is the daemon of doorvalve. It runs on every host that callers send requests to.
 package main
 
 import (
@@ -14,7 +14,7 @@
 	"github.com/doorvalve/doorvalve/driver/decisions"
 	"github.com/doorvalve/doorvalve/settings"
 
-	_ "runtime/cgo" // link to the C library as usual
+	_ "runtime/cgo" // link dynamically to the C library
 )
 
 type cli struct {
@@ -26,7 +26,7 @@
 
 type checkCmd struct{}
 
-// Run checks the settings.
+// Run prints "ok" if the settings file is valid and returns its errors otherwise.
 func (*checkCmd) Run(c *cli) error {
 	_, err := settings.Load(c.Settings)
 	if err == nil {
@@ -37,7 +37,7 @@
 
 type runCmd struct{}
 
-// Run serves.
+// Run starts the daemon and blocks until it has stopped.
 func (*runCmd) Run(c *cli) error {
 	set, err := settings.Load(c.Settings)
 	if err != nil {
--- a/cmd/doorvalved/serve.go
+++ b/cmd/doorvalved/serve.go
@@ -8,7 +8,7 @@
 	"github.com/oklog/run"
 )
 
-// server is a daemon of either kind.
+// server is a daemon, of the kind that either the run or the edge command starts.
 type server interface {
 	// Run serves until the shutdown is complete or ctx ends.
 	Run(ctx context.Context) error
@@ -16,8 +16,10 @@
 	Stop()
 }
 
-// serve runs a daemon. SIGTERM and SIGINT stop it; special is handed to
-// handle. The end of a graceful shutdown is no error.
+// serve runs a daemon until it has stopped. SIGTERM and SIGINT begin its
+// graceful shutdown; the signal special calls handle instead. The error that
+// isStopped recognizes, with which Run returns after a graceful shutdown, is
+// returned as nil.
 func serve(d server, isStopped func(error) bool, special os.Signal, handle func()) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
--- a/cmd/doorvalved/signals.go
+++ b/cmd/doorvalved/signals.go
@@ -7,7 +7,8 @@
 	"github.com/oklog/run"
 )
 
-// addSignals adds the actor that hands signals to a function, one at a time.
+// addSignals adds an actor to the group that calls handle for each signal
+// received, one call at a time.
 func addSignals(g *run.Group, handle func(os.Signal), signals ...os.Signal) {
 	received := make(chan os.Signal, 1)
 	signal.Notify(received, signals...)
