--- a/cmd/doorvalvectl/client.go
+++ b/cmd/doorvalvectl/client.go
@@ -16,10 +16,11 @@
 	"github.com/doorvalve/doorvalve/transport/engine"
 )
 
-// errNoAnswer says that a change was sent and not answered.
+// errNoAnswer is returned when a change was sent to a daemon and no answer
+// came, so that the change may or may not have taken effect.
 var errNoAnswer = errors.New("no answer; the change may have been accepted: look at `doorvalvectl history`")
 
-// refusedError is a daemon's refusal.
+// refusedError is the error for a request that a daemon refused.
 type refusedError struct{ protocol.Refusal }
 
 // Error implements error.
@@ -30,7 +31,7 @@
 
 const callTimeout = 15 * time.Second
 
-// client calls one daemon's operators' listener.
+// client sends requests to the operators' listener of one daemon.
 type client struct {
 	base  string
 	token string
@@ -62,8 +63,9 @@
 	return list, nil
 }
 
-// call asks the first daemon that can be reached. A change that was sent and
-// not answered is not sent again.
+// call sends a request to the first daemon that accepts a connection. Only
+// connection errors lead to the next daemon, so that a change that was sent
+// but not answered is never sent twice.
 func (c *cli) call(method, path string, body []byte) ([]byte, error) {
 	list, err := c.clients()
 	if err != nil {
@@ -106,7 +108,7 @@
 	return nil, refused
 }
 
-// get decodes the answer to a GET.
+// get sends a GET request and decodes the JSON answer into v.
 func (c *cli) get(path string, v any) error {
 	answer, err := c.call(http.MethodGet, path, nil)
 	if err != nil {
@@ -115,7 +117,8 @@
 	return json.Unmarshal(answer, v)
 }
 
-// print writes v as JSON, or calls text.
+// print writes v to standard output as JSON if the output format is json, and
+// calls text otherwise.
 func (c *cli) print(v any, text func()) error {
 	if c.Output != "json" {
 		text()
--- a/cmd/doorvalvectl/commands.go
+++ b/cmd/doorvalvectl/commands.go
@@ -29,7 +29,7 @@
 	File string `arg:"" help:"Bundle file, JSON with comments."`
 }
 
-// Checked is the answer of a check.
+// CheckResult is the result of checking a bundle or settings file.
 type CheckResult struct {
 	File   string        `json:"file"`
 	OK     bool          `json:"ok"`
@@ -37,7 +37,7 @@
 	Issues bundle.Issues `json:"issues,omitempty"`
 }
 
-// Run checks a file.
+// Run checks a bundle file and prints its digest, or returns its errors.
 func (c *checkCmd) Run(cl *cli) error {
 	content, err := os.ReadFile(c.File)
 	if err != nil {
@@ -63,7 +63,7 @@
 	File string `arg:"" help:"Bundle file."`
 }
 
-// Run compares a file with the bundle in force.
+// Run prints how a file differs from the bundle in force.
 func (c *diffCmd) Run(cl *cli) error {
 	content, err := os.ReadFile(c.File)
 	if err != nil {
@@ -88,7 +88,7 @@
 	})
 }
 
-// inForce reads the bundle in force; an empty one when there is none.
+// inForce returns the bundle in force, or an empty bundle before the first rollout.
 func (c *cli) inForce() (*bundle.Bundle, error) {
 	var p rollout.Pointer
 	if err := c.get("/v1/history", &p); err != nil {
@@ -109,7 +109,7 @@
 	Note string `help:"What the change is for."`
 }
 
-// Run proposes a file.
+// Run checks a file, stores it at the daemon for review and prints its digest.
 func (c *proposeCmd) Run(cl *cli) error {
 	content, err := os.ReadFile(c.File)
 	if err != nil {
@@ -133,7 +133,7 @@
 	Digest string `arg:""`
 }
 
-// Run prints a bundle's content as it was proposed.
+// Run prints a proposed bundle byte for byte.
 func (c *showCmd) Run(cl *cli) error {
 	content, err := cl.call(http.MethodGet, "/v1/bundles/"+c.Digest, nil)
 	if err == nil {
@@ -146,7 +146,7 @@
 	Digest string `arg:"" help:"The whole digest that was reviewed."`
 }
 
-// Run signs a digest off.
+// Run signs off the bundle with the digest.
 func (c *signoffCmd) Run(cl *cli) error {
 	_, err := cl.call(http.MethodPost, "/v1/bundles/"+c.Digest+"/signoff", nil)
 	return err
@@ -157,7 +157,7 @@
 	Expect uint64 `required:"" help:"Generation that you saw in force; a race is refused."`
 }
 
-// Run rolls a bundle out.
+// Run rolls out a signed-off bundle and prints the generation that it becomes.
 func (c *rolloutCmd) Run(cl *cli) error {
 	body, err := json.Marshal(operators.RolloutRequest{Digest: c.Digest, Expected: c.Expect})
 	if err != nil {
@@ -176,7 +176,7 @@
 
 type statusCmd struct{}
 
-// Run shows the daemons.
+// Run prints the daemons that the answering daemon lists, with the generation each runs.
 func (*statusCmd) Run(cl *cli) error {
 	var s operators.Status
 	if err := cl.get("/v1/status", &s); err != nil {
@@ -194,7 +194,7 @@
 
 type historyCmd struct{}
 
-// Run shows the rollouts.
+// Run prints the rollouts, newest first.
 func (*historyCmd) Run(cl *cli) error {
 	var p rollout.Pointer
 	if err := cl.get("/v1/history", &p); err != nil {
@@ -227,7 +227,7 @@
 
 type drainHostCmd struct{}
 
-// Run stops the one daemon that is named.
+// Run begins the graceful shutdown of the daemon at --address, which must be exactly one.
 func (*drainHostCmd) Run(cl *cli) error {
 	if len(cl.Address) != 1 {
 		return errors.New("name exactly one daemon with --address")
@@ -240,7 +240,7 @@
 	Name string `arg:"" help:"Endpoint."`
 }
 
-// Run brings an endpoint back.
+// Run undoes the drain of an endpoint.
 func (c *undrainCmd) Run(cl *cli) error {
 	_, err := cl.call(http.MethodPost, "/v1/endpoints/"+url.PathEscape(c.Name)+"/drain?on=false", nil)
 	return err
@@ -250,7 +250,7 @@
 	All bool `help:"Every daemon named by --address, not only the first that answers."`
 }
 
-// Run prints states as JSON.
+// Run prints the state of one or all daemons as JSON.
 func (c *dumpCmd) Run(cl *cli) error {
 	cl.Output = "json"
 	if !c.All {
@@ -267,7 +267,8 @@
 	return failed
 }
 
-// dumps returns the states of all daemons that can be reached, and why others cannot.
+// dumps returns the states of all daemons that answer, and an error that joins
+// the failures of the others.
 func (c *cli) dumps() ([]daemon.Dump, error) {
 	list, err := c.clients()
 	if err != nil {
--- a/cmd/doorvalvectl/explain.go
+++ b/cmd/doorvalvectl/explain.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// explainCmd prints what the daemons' logs tell of one request.
+// explainCmd prints the lines of the daemons' logs that are related to one request.
 type explainCmd struct {
 	ID     string        `arg:"" help:"The request's id."`
 	Files  []string      `arg:"" optional:"" help:"Logs of daemons; standard input without any."`
@@ -26,7 +26,7 @@
 	content string
 }
 
-// Run prints the timeline.
+// Run prints the related log lines in the order of their time stamps.
 func (e *explainCmd) Run() error {
 	lines, err := e.read()
 	if err != nil {
@@ -60,11 +60,12 @@
 	return all, nil
 }
 
-// maxLogLine bounds one line.
+// maxLogLine bounds the length of a log line in bytes; parsing ends at a longer line.
 const maxLogLine = 1 << 20
 
-// parseLog reads the JSON lines of a log; what stands before the first brace
-// of a line, as a collector's prefix, and other lines are passed over.
+// parseLog parses the JSON lines of a log. It skips text before the first brace
+// of a line, such as the prefix of a log collector, and lines that hold no JSON
+// object or no valid time stamp.
 func parseLog(r io.Reader) []logLine {
 	var lines []logLine
 	scanner := bufio.NewScanner(r)
@@ -89,10 +90,17 @@
 	return lines
 }
 
-// explain picks the lines of a request and, from around before it to its end,
-// those on its models and endpoints, on leases, dependencies and the desired
-// state; and, however long before, those on the same request under other ids, and on what endpoints
-// have said of themselves if that is why it was refused.
+// explain returns the lines of the request with the id, in the order of their
+// time stamps, together with
+//   - lines without a request, from around before its first line to its last
+//     line: orders to its models and endpoints, and all other events, such as
+//     those of leases, dependencies and the desired state;
+//   - lines with the same fingerprint, however much earlier: the same request
+//     sent again under other ids;
+//   - lines of backpressure signals of endpoints, however much earlier, if such
+//     a signal is the reason of the refusal.
+//
+// It returns nil if no line has the id.
 func explain(lines []logLine, id string, around time.Duration) []logLine {
 	about, prints := map[string]bool{}, map[string]bool{}
 	var first, last time.Time
@@ -141,14 +149,16 @@
 	return out
 }
 
-// saidEvents are the events that lead from a reason of a refusal to what endpoints have said.
+// saidEvents maps the reason of a refusal to the log event of the endpoints' backpressure signals
+// that lead to such a refusal.
 var saidEvents = map[string]string{
 	"endpoints-limited": "limit of an endpoint changed",
 	"endpoint-paused":   "endpoint asks for a pause",
 }
 
-// concerns reports whether a line that names no request bears on models or
-// endpoints, or on all requests.
+// concerns reports whether a line without a request is related to a request
+// with these models and endpoints. Orders are related if they name one of
+// them; all other events may affect any request.
 func (l *logLine) concerns(about map[string]bool) bool {
 	if l.Event != "order sent" {
 		return true
@@ -158,7 +168,8 @@
 	return about[endpoint] || about[model]
 }
 
-// String returns the line as people read it.
+// String formats the line for the terminal: time of day, event, and the other
+// fields sorted by name without empty ones.
 func (l *logLine) String() string {
 	keys := make([]string, 0, len(l.Fields))
 	for k, v := range l.Fields {
--- a/cmd/doorvalvectl/explain_test.go
+++ b/cmd/doorvalvectl/explain_test.go
@@ -35,7 +35,7 @@
 		t.Fatalf("got\n%s\nwant\n%s", text, want)
 	}
 	if explain(parseLog(strings.NewReader(sampleLog)), "r3", time.Second) != nil {
-		t.Fatal("a request that no line names was explained")
+		t.Fatal("got lines for a request that is not in the log")
 	}
 }
 
@@ -46,8 +46,9 @@
 host-3 {"@message":"request refused","@timestamp":"2026-10-14T04:08:36.000Z","request":"r9","reason":"held-back","fingerprint":"f1"}
 `
 
-// A request that is refused because it was held back leads to the engines that ended under
-// it before, under other ids and at other daemons.
+// If a request is refused because it is held back, the output must include the crashes of
+// endpoints under the same request at other daemons and under other ids: without them an
+// operator can't see why it is held back.
 func TestExplainLeadsFromARefusalToTheEnds(t *testing.T) {
 	got := explain(parseLog(strings.NewReader(heldBackLog)), "r9", time.Second)
 	if len(got) != 3 || got[0].Fields["request"] != "r0" || got[1].Event != "request held back" || got[2].Fields["request"] != "r9" {
@@ -61,14 +62,15 @@
 host-2 {"@message":"request refused","@timestamp":"2026-10-14T04:09:36.000Z","request":"r2","reason":"no-endpoint"}
 `
 
-// A request that is refused because endpoints take no more leads to the limits that they named.
+// If a request is refused because all endpoints are at their rate limit, the output must include
+// the endpoints' reports of that limit, even if they are much older than the request.
 func TestExplainLeadsFromARefusalToTheLimit(t *testing.T) {
 	got := explain(parseLog(strings.NewReader(limitedLog)), "r1", time.Second)
 	if len(got) != 2 || got[0].Fields["endpoint"] != "i-1" {
 		t.Fatalf("%+v", got)
 	}
 	if got := explain(parseLog(strings.NewReader(limitedLog)), "r2", time.Second); len(got) != 1 {
-		t.Fatalf("another reason: %+v", got)
+		t.Fatalf("lines of a request refused for another reason: %+v", got)
 	}
 }
 
@@ -77,7 +79,8 @@
 host-1 {"@message":"request refused","@timestamp":"2026-10-14T04:08:35.000Z","request":"r1","reason":"endpoint-paused"}
 `
 
-// A request that is refused because endpoints want a pause leads to who asked for it, and when.
+// If a request is refused because endpoints asked for a pause, the output must include the line
+// that shows which endpoint asked for it and when.
 func TestExplainLeadsFromARefusalToThePause(t *testing.T) {
 	got := explain(parseLog(strings.NewReader(pausedLog)), "r1", time.Second)
 	if len(got) != 2 || got[0].Fields["heard_on"] != "r0" {
--- a/cmd/doorvalvectl/limits.go
+++ b/cmd/doorvalvectl/limits.go
@@ -12,17 +12,17 @@
 
 type limitsCmd struct{}
 
-// EndpointLimit is what all daemons say of one endpoint's limit.
+// EndpointLimit is the rate limit that one endpoint reported, merged from the states of all daemons.
 type EndpointLimit struct {
 	Endpoint   string  `json:"endpoint"`
 	Rate       float64 `json:"requests_per_second"`
-	ReportedBy string  `json:"heard_by"` // daemon that got the answer
-	Daemons    int     `json:"daemons"`  // that know of it
+	ReportedBy string  `json:"heard_by"` // daemon that received the endpoint's report
+	Daemons    int     `json:"daemons"`  // number of daemons that hold the limit
 	Demand     float64 `json:"demand_per_second"`
-	Owner      string  `json:"owner"` // daemon that gives it out
+	Owner      string  `json:"owner"` // daemon that divides the limit among the daemons; empty if none of them does
 }
 
-// Run shows the endpoints that name a limit, by what all daemons named by --address say.
+// Run prints the endpoints that report a rate limit, from the states of all daemons at --address.
 func (c *limitsCmd) Run(cl *cli) error {
 	dumps, failed := cl.dumps()
 	list := endpointLimits(dumps)
@@ -40,7 +40,7 @@
 	return failed
 }
 
-// endpointLimits adds up what daemons say.
+// endpointLimits merges the limits that the daemons hold into one entry for each endpoint, sorted by name.
 func endpointLimits(dumps []daemon.Dump) []EndpointLimit {
 	byName := map[string]*EndpointLimit{}
 	for _, d := range dumps {
--- a/cmd/doorvalvectl/main.go
+++ b/cmd/doorvalvectl/main.go
@@ -9,7 +9,7 @@
 	"github.com/alecthomas/kong"
 )
 
-// Exit codes beside 0.
+// Exit codes for errors.
 const (
 	exitFailed   = 1 // the command was refused or could not be done
 	exitUnsure   = 3 // no answer; the change may have been accepted
--- a/cmd/doorvalvectl/workspaces.go
+++ b/cmd/doorvalvectl/workspaces.go
@@ -12,19 +12,19 @@
 
 type workspacesCmd struct{}
 
-// WorkspaceUse is what all daemons say of one workspace.
+// WorkspaceUsage is the quota and the use of one workspace, merged from the states of all daemons.
 type WorkspaceUsage struct {
 	Workspace string  `json:"workspace"`
 	Rate      float64 `json:"requests_per_second"` // 0: no quota
 	Burst     float64 `json:"burst"`
-	Demand    float64 `json:"demand_per_second"` // as its owner knows it
-	Level     float64 `json:"left"`              // requests that may come at once now
-	Owner     string  `json:"owner"`             // daemon that gives the quota out
-	Passed    int64   `json:"passed"`            // since the daemons started
+	Demand    float64 `json:"demand_per_second"` // at all daemons, from the owner's state
+	Level     float64 `json:"left"`              // requests left in the bucket
+	Owner     string  `json:"owner"`             // daemon that divides the quota among the daemons; empty if none of them does
+	Passed    int64   `json:"passed"`            // since the start of each daemon
 	Refused   int64   `json:"refused"`
 }
 
-// Run shows the workspaces by what all daemons named by --address say.
+// Run prints the workspaces, from the states of all daemons at --address.
 func (c *workspacesCmd) Run(cl *cli) error {
 	dumps, failed := cl.dumps()
 	list := workspaceUse(dumps)
@@ -49,7 +49,7 @@
 	return fmt.Sprintf("%.0f%s", v, unit)
 }
 
-// workspaceUse adds up what daemons say.
+// workspaceUse merges the workspaces' usage at the daemons into one entry for each workspace, sorted by name.
 func workspaceUse(dumps []daemon.Dump) []WorkspaceUsage {
 	byName := map[string]*WorkspaceUsage{}
 	for _, d := range dumps {
