--- a/cmd/doorvalvectl/client.go
+++ b/cmd/doorvalvectl/client.go
@@ -26,8 +26,8 @@
 // Error implements error.
 func (e *refusedError) Error() string { return e.Detail }
 
-func (e *refusedError) conflict() bool { return e.Status == http.StatusConflict }
-func (e *refusedError) unsure() bool   { return e.Verdict != protocol.NotRun }
+func (e *refusedError) conflict() bool   { return e.Status == http.StatusConflict }
+func (e *refusedError) mayHaveRun() bool { return e.Verdict != protocol.NotRun }
 
 const callTimeout = 15 * time.Second
 
--- a/cmd/doorvalvectl/commands.go
+++ b/cmd/doorvalvectl/commands.go
@@ -276,14 +276,14 @@
 	}
 	var dumps []daemon.Dump
 	var failed []error
-	for _, one := range list {
+	for _, cl := range list {
 		var d daemon.Dump
-		answer, err := one.call(http.MethodGet, "/debug/state", nil)
+		answer, err := cl.call(http.MethodGet, "/debug/state", nil)
 		if err == nil {
 			err = json.Unmarshal(answer, &d)
 		}
 		if err != nil {
-			failed = append(failed, fmt.Errorf("%s: %w", one.base, err))
+			failed = append(failed, fmt.Errorf("%s: %w", cl.base, err))
 			continue
 		}
 		dumps = append(dumps, d)
--- a/cmd/doorvalvectl/explain.go
+++ b/cmd/doorvalvectl/explain.go
@@ -102,9 +102,9 @@
 //
 // It returns nil if no line has the id.
 func explain(lines []logLine, id string, around time.Duration) []logLine {
-	about, prints := map[string]bool{}, map[string]bool{}
+	subjects, fingerprints := map[string]bool{}, map[string]bool{}
 	var first, last time.Time
-	said := ""
+	signalEvent := ""
 	for _, l := range lines {
 		if l.Fields["request"] != id {
 			continue
@@ -116,15 +116,15 @@
 			last = l.At
 		}
 		if print, _ := l.Fields["fingerprint"].(string); print != "" {
-			prints[print] = true
+			fingerprints[print] = true
 		}
-		if reason, _ := l.Fields["reason"].(string); saidEvents[reason] != "" {
-			said = saidEvents[reason]
+		if reason, _ := l.Fields["reason"].(string); signalEvents[reason] != "" {
+			signalEvent = signalEvents[reason]
 		}
 		for _, field := range []string{"endpoint", "model"} {
 			if v, _ := l.Fields[field].(string); v != "" {
 				model, _, _ := strings.Cut(v, "/")
-				about[model] = true
+				subjects[model] = true
 			}
 		}
 	}
@@ -133,15 +133,15 @@
 	}
 	var out []logLine
 	for _, l := range lines {
-		if print, _ := l.Fields["fingerprint"].(string); prints[print] && !l.At.After(last) {
+		if print, _ := l.Fields["fingerprint"].(string); fingerprints[print] && !l.At.After(last) {
 			out = append(out, l)
 			continue
 		}
-		if said != "" && l.Event == said && !l.At.After(last) {
+		if signalEvent != "" && l.Event == signalEvent && !l.At.After(last) {
 			out = append(out, l)
 			continue
 		}
-		if l.Fields["request"] == id || l.Fields["request"] == nil && !l.At.Before(first.Add(-around)) && !l.At.After(last) && l.concerns(about) {
+		if l.Fields["request"] == id || l.Fields["request"] == nil && !l.At.Before(first.Add(-around)) && !l.At.After(last) && l.concerns(subjects) {
 			out = append(out, l)
 		}
 	}
@@ -149,9 +149,9 @@
 	return out
 }
 
-// saidEvents maps the reason of a refusal to the log event of the endpoints' backpressure signals
+// signalEvents maps the reason of a refusal to the log event of the endpoints' backpressure signals
 // that lead to such a refusal.
-var saidEvents = map[string]string{
+var signalEvents = map[string]string{
 	"endpoints-limited": "limit of an endpoint changed",
 	"endpoint-paused":   "endpoint asks for a pause",
 }
@@ -159,13 +159,13 @@
 // concerns reports whether a line without a request is related to a request
 // with these models and endpoints. Orders are related if they name one of
 // them; all other events may affect any request.
-func (l *logLine) concerns(about map[string]bool) bool {
+func (l *logLine) concerns(subjects map[string]bool) bool {
 	if l.Event != "order sent" {
 		return true
 	}
 	endpoint, _ := l.Fields["endpoint"].(string)
 	model, _ := l.Fields["model"].(string)
-	return about[endpoint] || about[model]
+	return subjects[endpoint] || subjects[model]
 }
 
 // String formats the line for the terminal: time of day, event, and the other
--- a/cmd/doorvalvectl/explain_test.go
+++ b/cmd/doorvalvectl/explain_test.go
@@ -21,7 +21,7 @@
 host-1 {"@message":"lease changed","@timestamp":"2026-10-14T04:00:00.000Z","fence":1}
 `
 
-func TestExplainPicksWhatBearsOnARequest(t *testing.T) {
+func TestExplainSelectsRelatedLines(t *testing.T) {
 	got := explain(parseLog(strings.NewReader(sampleLog)), "r1", 10*time.Second)
 	var events []string
 	for _, l := range got {
@@ -49,7 +49,7 @@
 // If a request is refused because it is held back, the output must include the crashes of
 // endpoints under the same request at other daemons and under other ids: without them an
 // operator can't see why it is held back.
-func TestExplainLeadsFromARefusalToTheEnds(t *testing.T) {
+func TestExplainShowsCrashesOfHeldBackRequest(t *testing.T) {
 	got := explain(parseLog(strings.NewReader(heldBackLog)), "r9", time.Second)
 	if len(got) != 3 || got[0].Fields["request"] != "r0" || got[1].Event != "request held back" || got[2].Fields["request"] != "r9" {
 		t.Fatalf("%+v", got)
@@ -64,7 +64,7 @@
 
 // If a request is refused because all endpoints are at their rate limit, the output must include
 // the endpoints' reports of that limit, even if they are much older than the request.
-func TestExplainLeadsFromARefusalToTheLimit(t *testing.T) {
+func TestExplainShowsRateLimitBehindRefusal(t *testing.T) {
 	got := explain(parseLog(strings.NewReader(limitedLog)), "r1", time.Second)
 	if len(got) != 2 || got[0].Fields["endpoint"] != "i-1" {
 		t.Fatalf("%+v", got)
@@ -81,7 +81,7 @@
 
 // If a request is refused because endpoints asked for a pause, the output must include the line
 // that shows which endpoint asked for it and when.
-func TestExplainLeadsFromARefusalToThePause(t *testing.T) {
+func TestExplainShowsPauseBehindRefusal(t *testing.T) {
 	got := explain(parseLog(strings.NewReader(pausedLog)), "r1", time.Second)
 	if len(got) != 2 || got[0].Fields["heard_on"] != "r0" {
 		t.Fatalf("%+v", got)
--- a/cmd/doorvalvectl/main.go
+++ b/cmd/doorvalvectl/main.go
@@ -11,9 +11,9 @@
 
 // Exit codes for errors.
 const (
-	exitFailed   = 1 // the command was refused or could not be done
-	exitUnsure   = 3 // no answer; the change may have been accepted
-	exitConflict = 4 // another change came first
+	exitFailed         = 1 // the command was refused or could not be done
+	exitOutcomeUnknown = 3 // no answer; the change may have been accepted
+	exitConflict       = 4 // another change came first
 )
 
 type cli struct {
@@ -67,8 +67,8 @@
 	switch {
 	case errors.As(err, &refused) && refused.conflict():
 		return exitConflict
-	case errors.As(err, &refused) && refused.unsure(), errors.Is(err, errNoAnswer):
-		return exitUnsure
+	case errors.As(err, &refused) && refused.mayHaveRun(), errors.Is(err, errNoAnswer):
+		return exitOutcomeUnknown
 	default:
 		return exitFailed
 	}
--- a/cmd/doorvalvectl/workspaces.go
+++ b/cmd/doorvalvectl/workspaces.go
@@ -27,7 +27,7 @@
 // Run prints the workspaces, from the states of all daemons at --address.
 func (c *workspacesCmd) Run(cl *cli) error {
 	dumps, failed := cl.dumps()
-	list := workspaceUse(dumps)
+	list := workspaceUsage(dumps)
 	err := cl.print(list, func() {
 		t := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 		fmt.Fprintln(t, "WORKSPACE\tQUOTA\tBURST\tDEMAND\tLEFT\tPASSED\tREFUSED\tOWNER")
@@ -49,8 +49,8 @@
 	return fmt.Sprintf("%.0f%s", v, unit)
 }
 
-// workspaceUse merges the workspaces' usage at the daemons into one entry for each workspace, sorted by name.
-func workspaceUse(dumps []daemon.Dump) []WorkspaceUsage {
+// workspaceUsage merges the workspaces' usage at the daemons into one entry for each workspace, sorted by name.
+func workspaceUsage(dumps []daemon.Dump) []WorkspaceUsage {
 	byName := map[string]*WorkspaceUsage{}
 	for _, d := range dumps {
 		for _, v := range d.Workspaces {
