--- a/standin/engine/complete.go
+++ b/standin/engine/complete.go
@@ -23,13 +23,14 @@
 
 const defaultTokens = 8
 
-// Token returns the i-th token of the answer to a prompt. It follows from the
-// prompt alone, so that a test can tell a crossed or cut answer.
+// Token returns the i-th token of the answer to a prompt. It is a hash of the
+// prompt and i, so that a test can detect an answer that belongs to another
+// request or is incomplete.
 func Token(prompt string, i int) string {
 	return fmt.Sprintf("%x ", xxhash.Sum64String(prompt+strconv.Itoa(i))&0xffff)
 }
 
-// Answer returns the whole answer to a prompt.
+// Answer returns the complete answer to a prompt, with a number of tokens.
 func Answer(prompt string, tokens int) string {
 	var b strings.Builder
 	for i := range tokens {
@@ -107,7 +108,8 @@
 	_, _ = fmt.Fprintf(w, "id: %s:%d\ndata: [DONE]\n\n", attempt, req.MaxTokens+1)
 }
 
-// tellState says in an answer that the engine leaves, or asks for a pause.
+// tellState sets the headers by which an answer announces that the engine is
+// leaving or asks for a pause.
 func (e *Engine) tellState(h http.Header) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -119,7 +121,8 @@
 	}
 }
 
-// start takes a slot, or refuses before anything has run.
+// start takes a slot for a request to a model and counts the request, or
+// returns the refusal if the request can't run.
 func (e *Engine) start(model, requestID string) *protocol.Refusal {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -142,6 +145,8 @@
 	return nil
 }
 
+// end frees a slot that start took. The last request of a unit that is being
+// unloaded removes the unit.
 func (e *Engine) end(model string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -1,7 +1,7 @@
-// Package engine is a stand-in for a model engine: it takes orders to load and
-// unload, streams tokens that follow from the prompt alone, resumes and
-// cancels streams, reports its load with a lag, and has memory that can really
-// be overcommitted and says so.
+// Package engine is a stand-in for a model engine. It takes orders to load and
+// unload, streams tokens that are a function of the prompt, resumes and cancels
+// streams, and reports its load with a lag. It executes orders that overcommit
+// its memory, and reports how many did.
 package engine
 
 import (
@@ -16,24 +16,24 @@
 	"github.com/doorvalve/doorvalve/standin/fault"
 )
 
-// Options describe the engine.
+// Options configure an engine.
 type Options struct {
 	Name          string
 	MemoryMiB     int64
 	Slots         int
-	ChecksFencing bool
-	TokenTime     time.Duration
-	ReportLag     time.Duration // age of the running counts it reports
-	StoreURL      string        // weight store; empty: loads take LoadTime
+	ChecksFencing bool          // reject orders with a lower fencing number than an earlier order
+	TokenTime     time.Duration // between two tokens
+	ReportLag     time.Duration // shortest time between two updates of the reported running counts
+	StoreURL      string        // weight store that loads read from; empty: loads take LoadTime
 	LoadTime      time.Duration
 }
 
 type unit struct {
 	protocol.EngineUnit
-	reported int // running, as of the last report
+	reported int // running requests at the last update of the reported counts
 }
 
-// Engine is the stand-in.
+// Engine is the stand-in. It is safe for concurrent use.
 type Engine struct {
 	Faults *fault.Injector
 
@@ -47,22 +47,23 @@
 	leaving bool
 	running int
 	stats   Stats
-	lagAt   time.Time
-	cutAt   int // cut streams after this many tokens; 0: never
-	crossed bool
-	pause   string // that it asks for as it refuses all requests; empty: it serves
+	lagAt   time.Time // last update of the reported running counts
+	cutAt   int       // cut streams after this many tokens; 0: never
+	crossed bool      // answer with a wrong attempt id
+	pause   string    // Retry-After in seconds with which all requests are refused; empty: requests are served
 }
 
-// Stats are the engine's own counts, the judge in tests.
+// Stats are the engine's own counts. Tests compare them with what daemons
+// answer and report.
 type Stats struct {
-	Runs              map[string]int `json:"runs"` // by request id
-	Loads             map[string]int `json:"loads"`
-	Overcommitted     int            `json:"overcommitted"`
-	RefusedStaleFence int            `json:"refused_old_fence"`
+	Runs              map[string]int `json:"runs"`              // by request id
+	Loads             map[string]int `json:"loads"`             // by unit
+	Overcommitted     int            `json:"overcommitted"`     // loads that brought the units above the engine's memory
+	RefusedStaleFence int            `json:"refused_old_fence"` // orders with an outdated fencing number
 	PeakMemoryMiB     int64          `json:"peak_memory_mib"`
 	PeakRunning       int            `json:"peak_running"`
 	Orders            int            `json:"orders"`
-	LastStart         time.Time      `json:"last_start"` // of the newest request
+	LastStart         time.Time      `json:"last_start"` // of a request
 }
 
 // New returns an engine with nothing loaded.
@@ -91,10 +92,11 @@
 // Orders returns the number of orders received.
 func (e *Engine) Orders() int { return e.Stats().Orders }
 
-// Units returns the units that take memory now.
+// Units returns the units that take memory: those that are ready and those
+// that are being loaded or unloaded.
 func (e *Engine) Units() []protocol.EngineUnit { return e.state().Units }
 
-// SetLeaving makes the engine say that it is leaving.
+// SetLeaving makes the engine announce that it is leaving and refuse new requests.
 func (e *Engine) SetLeaving(yes bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -102,29 +104,31 @@
 	e.version++
 }
 
-// SetPause makes the engine refuse all requests and ask for a pause, in seconds; empty: it serves.
+// SetPause makes the engine refuse all requests and ask for a pause of the given
+// number of seconds in Retry-After. With an empty string it serves requests again.
 func (e *Engine) SetPause(seconds string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.pause = seconds
 }
 
-// CutStreamsAfter cuts each new stream after n tokens; 0 stops cutting.
+// CutStreamsAfter makes the engine close the connection of each new stream after
+// n tokens; 0 turns that off.
 func (e *Engine) CutStreamsAfter(n int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.cutAt = n
 }
 
-// CrossAnswers makes the engine answer under another attempt's id.
+// SetWrongAttemptID makes the engine answer with the id of another attempt than
+// the one requested.
 func (e *Engine) SetWrongAttemptID(yes bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.crossed = yes
 }
 
-// Preload puts a unit into memory behind doorvalve's back, as an operator's
-// script would.
+// Preload puts a unit into memory without an order, as operators' scripts do.
 func (e *Engine) Preload(u protocol.EngineUnit) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -214,7 +218,7 @@
 	w.WriteHeader(http.StatusAccepted)
 }
 
-// load starts a load; the caller holds the mutex.
+// load starts the load of a unit that the engine doesn't have yet. The caller holds e.mu.
 func (e *Engine) load(o protocol.Order) {
 	if e.units[o.Unit] != nil {
 		return
@@ -235,6 +239,8 @@
 	go e.finishLoad(o)
 }
 
+// finishLoad waits until the weights are read and makes the unit ready, unless
+// it was unloaded or ordered anew meanwhile.
 func (e *Engine) finishLoad(o protocol.Order) {
 	if e.opt.StoreURL == "" {
 		time.Sleep(e.opt.LoadTime)
@@ -252,6 +258,7 @@
 	}
 }
 
+// fetch reads weights of a size from the weight store. It reports whether that succeeded.
 func (e *Engine) fetch(mib int64) bool {
 	body, _ := json.Marshal(mib)
 	resp, err := e.client.Post(e.opt.StoreURL+"/fetch", "application/json", bytes.NewReader(body))
@@ -262,7 +269,7 @@
 	return resp.StatusCode == http.StatusNoContent
 }
 
-// unload removes a unit once its requests have ended.
+// unload removes a unit once its requests have ended. The caller holds e.mu.
 func (e *Engine) unload(o protocol.Order) {
 	u := e.units[o.Unit]
 	if u == nil {
@@ -275,8 +282,8 @@
 	}
 }
 
-// Forget drops a unit, as an engine does that was restarted. It reports
-// whether the unit was there.
+// DropUnit removes a unit at once, as a restart of the engine would. It reports
+// whether the engine had the unit.
 func (e *Engine) DropUnit(unit string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/standin/fault/fault.go
+++ b/standin/fault/fault.go
@@ -1,5 +1,5 @@
-// Package fault adds settable faults to the handlers of the stand-ins: delay,
-// failure, freeze and answers lost after the call took effect.
+// Package fault injects faults into the handlers of the stand-ins: delays,
+// failures, freezes, and answers that are lost after the call took effect.
 package fault
 
 import (
@@ -10,21 +10,21 @@
 	"time"
 )
 
-// Settings are the faults in force.
+// Settings are the faults to inject. The zero value injects none.
 type Settings struct {
 	DelayMs int  `json:"delay_ms"` // before each call
-	Fail    bool `json:"fail"`     // answer 503 without doing anything
-	Freeze  bool `json:"freeze"`   // hold each call until it is lifted
-	// LoseAnswers is how many calls still take effect and then close the
-	// connection without an answer; -1 means all.
+	Fail    bool `json:"fail"`     // answer 503 without executing the call
+	Freeze  bool `json:"freeze"`   // block each call until Freeze is unset
+	// LoseAnswers is the number of calls that are executed and whose connection
+	// is then closed without an answer; -1 means all calls.
 	LoseAnswers int `json:"lose_answers"`
-	// Path restricts the faults to paths that contain it.
+	// Path restricts the faults to request paths that contain it.
 	Path string `json:"path"`
-	// Method restricts the faults to one method.
+	// Method restricts the faults to requests with this method; empty: all methods.
 	Method string `json:"method"`
 }
 
-// Injector holds the settings of one stand-in.
+// Injector injects faults into one stand-in. It is safe for concurrent use.
 type Injector struct {
 	mu       sync.Mutex
 	settings Settings
@@ -34,7 +34,8 @@
 // New returns an injector without faults.
 func New() *Injector { return &Injector{changed: make(chan struct{})} }
 
-// Set replaces the settings.
+// Set replaces the settings. Calls that are frozen under the old settings go on
+// if the new ones don't freeze them.
 func (i *Injector) Set(s Settings) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -53,7 +54,8 @@
 	return strings.Contains(r.URL.Path, s.Path) && (s.Method == "" || s.Method == r.Method)
 }
 
-// loses reports whether this call's answer is lost, and counts it.
+// loses reports whether the answer to this call is to be lost, and counts
+// LoseAnswers down.
 func (i *Injector) loses(r *http.Request) bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -66,10 +68,11 @@
 	return true
 }
 
-// ControlPath is where the settings are posted.
+// ControlPath is the path that accepts Settings as JSON by POST.
 const ControlPath = "/control/faults"
 
-// Wrap adds the faults to next and serves ControlPath.
+// Wrap returns a handler that serves ControlPath and passes other requests to
+// next with the faults. Other paths under /control/ have no faults.
 func (i *Injector) Wrap(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == ControlPath {
@@ -95,7 +98,8 @@
 	})
 }
 
-// wait holds the call for the delay and while frozen.
+// wait blocks for the delay and while calls are frozen. It returns false if the
+// client closed the request during the delay.
 func (i *Injector) wait(r *http.Request) bool {
 	s, changed := i.get()
 	if s.applies(r) && s.DelayMs > 0 {
@@ -106,7 +110,7 @@
 		}
 	}
 	for s.Freeze && s.applies(r) {
-		<-changed // a frozen process does not notice that its client left
+		<-changed // doesn't end with the request: a frozen process does not notice that its client has closed it
 		s, changed = i.get()
 	}
 	return true
@@ -122,7 +126,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// discard swallows an answer.
+// discard is a ResponseWriter that drops the answer.
 type discard struct{ header http.Header }
 
 func (d *discard) Header() http.Header         { return d.header }
--- a/standin/platform/platform.go
+++ b/standin/platform/platform.go
@@ -1,5 +1,6 @@
 // Package platform is a stand-in for the platform: its object API with
-// versions, conditional updates and watches, and its lagging host list.
+// versions, conditional updates and watches, and its host list, which lags
+// behind changes.
 package platform
 
 import (
@@ -18,10 +19,10 @@
 	"github.com/doorvalve/doorvalve/standin/fault"
 )
 
-// MaxValueBytes bounds a value.
+// MaxValueBytes is the largest size of an object's value.
 const MaxValueBytes = 1 << 20
 
-// Object is one stored value.
+// Object is one stored object, or a deletion in the answer to a watch.
 type Object struct {
 	Kind    string          `json:"kind"`
 	Name    string          `json:"name"`
@@ -38,14 +39,14 @@
 	Leaving bool   `json:"leaving"`
 }
 
-// Counts are the calls so far.
+// Counts are the numbers of calls since the start.
 type Counts struct {
 	Reads    int            `json:"reads"`
 	Writes   int            `json:"writes"`
 	Watches  int            `json:"watches"`
-	Hosts    int            `json:"hosts"`
+	Hosts    int            `json:"hosts"` // reads of the host list
 	Conflict int            `json:"conflicts"`
-	Refused  int            `json:"refused"` // over the rate
+	Refused  int            `json:"refused"` // calls above the rate limits
 	Bytes    int            `json:"bytes_written"`
 	ByKind   map[string]int `json:"writes_by_kind"`
 }
@@ -55,7 +56,7 @@
 	list []Host
 }
 
-// Platform is the stand-in.
+// Platform is the stand-in. It is safe for concurrent use.
 type Platform struct {
 	Faults *fault.Injector
 
@@ -63,9 +64,9 @@
 	generation uint64 // rises with each restore
 	revision   uint64
 	objects    map[string]*Object
-	log        []Object      // every change, for watches
+	log        []Object      // all changes, ordered by version, for watches
 	changed    chan struct{} // closed at each change
-	gone       chan struct{} // closed at the next restore: what waits gets no answer
+	gone       chan struct{} // closed at the next restore, which ends waiting watches without an answer
 	counts     Counts
 	hosts      []hostChange
 	lag        time.Duration
@@ -73,11 +74,11 @@
 	reads      *rate.Limiter
 }
 
-// Options are the stand-in's rates and lags.
+// Options are the rate limits of the stand-in and the lag of its host list.
 type Options struct {
-	WritesPerSecond int // 0: unlimited
-	ReadsPerSecond  int // 0: unlimited
-	HostLag         time.Duration
+	WritesPerSecond int           // 0: unlimited
+	ReadsPerSecond  int           // 0: unlimited
+	HostLag         time.Duration // from a change of the host list until readers see it
 }
 
 // New returns an empty platform.
@@ -96,7 +97,7 @@
 	return rate.NewLimiter(rate.Limit(perSecond), perSecond)
 }
 
-// Counts returns the calls so far.
+// Counts returns the numbers of calls since the start.
 func (p *Platform) Counts() Counts {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -129,9 +130,10 @@
 	return p.Faults.Wrap(p.named(mux))
 }
 
-// headerGeneration names the platform's generation in each answer.
+// headerGeneration is the header of each answer with the platform's generation.
 const headerGeneration = "Platform-Generation"
 
+// named adds the generation's header to the answers of next.
 func (p *Platform) named(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		p.mu.Lock()
@@ -141,22 +143,23 @@
 	})
 }
 
-// Copy is what a platform can be restored from.
+// Backup is a copy of the stored objects that Restore accepts.
 type Backup struct {
 	revision uint64
 	objects  map[string]*Object
 	log      []Object
 }
 
-// CopyNow returns what the platform can be restored from later.
+// Backup returns a copy of the stored objects for Restore.
 func (p *Platform) Backup() Backup {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return Backup{p.revision, maps.Clone(p.objects), slices.Clone(p.log)}
 }
 
-// Restore brings the objects back from a copy: what was acknowledged since is lost, and its versions
-// are given out again. Watches that wait end.
+// Restore replaces the objects by those of a backup and begins the next generation. Updates that
+// were acknowledged since the backup are lost, and later updates reuse their versions. Waiting
+// watches end without an answer.
 func (p *Platform) Restore(c Backup) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -171,6 +174,7 @@
 	_ = json.NewEncoder(w).Encode(v)
 }
 
+// allow reports whether a call is within the rate limit. It answers and counts calls above it.
 func (p *Platform) allow(w http.ResponseWriter, l *rate.Limiter) bool {
 	if l.Allow() {
 		return true
@@ -218,8 +222,8 @@
 	writeJSON(w, found)
 }
 
-// put writes if the object's version is the one in If-Match; "0" means that
-// it must not exist.
+// put writes an object if its version is the one in If-Match; "0" means that
+// the object must not exist.
 func (p *Platform) put(w http.ResponseWriter, r *http.Request) {
 	if !p.allow(w, p.writes) {
 		return
@@ -273,6 +277,8 @@
 	return 0
 }
 
+// store gives a change of an object the next revision as its version, records
+// it and wakes watches. The caller holds p.mu.
 func (p *Platform) store(o Object) Object {
 	p.revision++
 	o.Version = p.revision
@@ -283,13 +289,16 @@
 	return o
 }
 
-// Watched is the answer to a watch.
+// WatchResponse is the answer to a watch.
 type WatchResponse struct {
 	Revision uint64   `json:"revision"`
-	Objects  []Object `json:"objects"` // of the kinds asked for
+	Objects  []Object `json:"objects"` // changes of the requested kinds, ordered by version
 }
 
-// watch waits until an object of the given kinds has changed after a revision.
+// watch answers with the changes of objects of the requested kinds after a
+// revision. It waits for a change if there is none yet, for at most wait_ms
+// milliseconds. A revision above the platform's own, as after a restore, is
+// answered with status 410.
 func (p *Platform) watch(w http.ResponseWriter, r *http.Request) {
 	if !p.allow(w, p.reads) {
 		return
@@ -326,6 +335,8 @@
 	}
 }
 
+// since returns the changes of objects of the kinds after a revision, and the
+// channel that is closed at the next change.
 func (p *Platform) since(revision uint64, kinds []string) (WatchResponse, chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -379,8 +390,9 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// Replay shows watchers an object's oldest content once more, as a watch does
-// that lags and repeats itself. Reads and conditional updates are not touched.
+// Replay sends watches the first content of an object once more, under a new
+// revision, as a watch that lags and repeats events does. Reads and conditional
+// updates of the object are not affected.
 func (p *Platform) Replay(kind, name string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/standin/record/record.go
+++ b/standin/record/record.go
@@ -1,4 +1,4 @@
-// Package record is a stand-in for a store of records, in memory.
+// Package record is a stand-in for the store of records: a single record in memory.
 package record
 
 import (
@@ -12,9 +12,10 @@
 	"github.com/doorvalve/doorvalve/state/storeversion"
 )
 
-// Store keeps one record. It is safe for concurrent use.
+// Store holds one record. The zero value is an empty store of generation 0. It
+// is safe for concurrent use.
 type Store struct {
-	// Takes is the time that each call takes.
+	// Latency is the time that each call takes. It must not be changed during calls.
 	Latency time.Duration
 
 	mu      sync.Mutex
@@ -23,41 +24,42 @@
 	calls   int
 }
 
-// Copy is what a Store can be restored from.
+// Backup is a copy of the record that Restore accepts.
 type Backup struct {
 	raw     []byte
 	version storeversion.Version
 }
 
-// Calls returns the number of calls so far.
+// Calls returns the number of reads and writes so far.
 func (s *Store) Calls() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls
 }
 
-// CopyNow returns what the store can be restored from later.
+// Backup returns a copy of the record for Restore.
 func (s *Store) Backup() Backup {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return Backup{s.raw, s.version}
 }
 
-// Restore brings the store back from a copy, as its next generation.
+// Restore replaces the record by that of a backup and begins the store's next generation.
 func (s *Store) Restore(c Backup) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.raw, s.version = c.raw, storeversion.Version{Generation: s.version.Generation + 1, Revision: c.version.Revision}
 }
 
-// Generation returns the store's.
+// Generation returns the store's generation, which is the number of restores so far.
 func (s *Store) Generation() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.version.Generation
 }
 
-// ReadRecord returns the record, whatever its name.
+// ReadRecord decodes the record into v and returns its version. The name is
+// ignored. If nothing has been written yet, it returns lease.ErrNotFound.
 func (s *Store) ReadRecord(_ context.Context, _ string, v any) (storeversion.Version, error) {
 	time.Sleep(s.Latency)
 	s.mu.Lock()
@@ -69,7 +71,8 @@
 	return s.version, json.Unmarshal(s.raw, v)
 }
 
-// WriteRecord replaces the record if its revision is the one expected.
+// WriteRecord replaces the record if its revision is the expected one, and
+// reports a conflict otherwise. The name is ignored.
 func (s *Store) WriteRecord(_ context.Context, _ string, expected storeversion.Version, v any) (storeversion.Version, protocol.WriteOutcome, error) {
 	time.Sleep(s.Latency)
 	s.mu.Lock()
--- a/standin/service/service.go
+++ b/standin/service/service.go
@@ -1,5 +1,5 @@
-// Package service is a stand-in for a plain service. It counts how often each
-// order ran.
+// Package service is a stand-in for a plain service. It counts how often a call
+// with each idempotency key ran.
 package service
 
 import (
@@ -15,28 +15,28 @@
 	"github.com/doorvalve/doorvalve/standin/fault"
 )
 
-// Service is the stand-in.
+// Service is the stand-in. It is safe for concurrent use.
 type Service struct {
 	Faults *fault.Injector
 	Name   string
-	Work   time.Duration // time each call takes
+	Work   time.Duration // time that each call takes
 
 	mu      sync.Mutex
 	runs    map[string]int // by idempotency key
 	calls   int
 	leaving bool
-	lastNew time.Time
-	limit   string // that it names; empty: none
-	pause   string // that it asks for as it refuses all calls; empty: it serves
+	lastNew time.Time // arrival of the last call
+	limit   string    // rate limit reported in answers; empty: none
+	pause   string    // Retry-After in seconds with which all calls are refused; empty: calls are served
 	arrived []time.Time
 }
 
-// New returns a service that has run nothing.
+// New returns a service whose calls take the time work.
 func New(name string, work time.Duration) *Service {
 	return &Service{Faults: fault.New(), Name: name, Work: work, runs: map[string]int{}}
 }
 
-// Runs returns how often each key ran.
+// Runs returns how often a call with each idempotency key ran.
 func (s *Service) Runs() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -47,42 +47,46 @@
 	return c
 }
 
-// Calls returns the number of all calls that ran, and when the last began.
+// Calls returns the number of calls received, and when the last one arrived.
 func (s *Service) Calls() (int, time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls, s.lastNew
 }
 
-// SetLeaving makes the service say that it is leaving.
+// SetLeaving makes the service announce in its answers that it is leaving. It
+// still serves calls.
 func (s *Service) SetLeaving(yes bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.leaving = yes
 }
 
-// SetRateLimit makes the service say how many requests a second it takes; empty: it says nothing.
+// SetRateLimit makes the service report a limit in requests a second in its
+// answers; with an empty string it reports none.
 func (s *Service) SetRateLimit(limit string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.limit = limit
 }
 
-// SetPause makes the service refuse all calls and ask for a pause, in seconds; empty: it serves.
+// SetPause makes the service refuse all calls and ask for a pause of the given
+// number of seconds in Retry-After. With an empty string it serves calls again.
 func (s *Service) SetPause(seconds string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.pause = seconds
 }
 
-// Arrived returns when calls have come.
+// Arrivals returns the times at which calls arrived, in order.
 func (s *Service) Arrivals() []time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.arrived)
 }
 
-// Handler serves any method and path.
+// Handler serves any method and path as a call, beside the health check and
+// /control/.
 func (s *Service) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /healthz", s.health)
@@ -105,7 +109,7 @@
 func (s *Service) run(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
-		return // the request never arrived whole
+		return // the body was truncated
 	}
 	s.mu.Lock()
 	s.calls++
--- a/standin/store/store.go
+++ b/standin/store/store.go
@@ -12,21 +12,21 @@
 	"github.com/doorvalve/doorvalve/standin/fault"
 )
 
-// Options are the store's limits.
+// Options are the store's limits and speed.
 type Options struct {
 	LoadsPerSecond float64
-	AtOnce         int           // at full speed; more share the same speed
+	AtOnce         int           // fetches at full speed; more than that share the total speed
 	PerGiB         time.Duration // time to read one GiB at full speed
 }
 
-// Counts are the store's totals.
+// Counts are the store's fetches: all so far, the active ones, and the most that were active at once.
 type Counts struct {
 	Fetches int `json:"fetches"`
 	Active  int `json:"now"`
 	Peak    int `json:"peak"`
 }
 
-// Store is the stand-in.
+// Store is the stand-in. It is safe for concurrent use.
 type Store struct {
 	Faults *fault.Injector
 
@@ -45,21 +45,22 @@
 	}
 }
 
-// SetSlowdown multiplies the time of each fetch.
+// SetSlowdown multiplies the time that fetches take by f.
 func (s *Store) SetSlowdown(f float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.slow = f
 }
 
-// Counts returns the totals.
+// Counts returns the counts of fetches.
 func (s *Store) Counts() Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.counts
 }
 
-// Handler serves POST /fetch?mib=N, which answers when the weights are read.
+// Handler serves POST /fetch, which answers once the weights are read. The body
+// is their size in MiB.
 func (s *Store) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /fetch", s.fetch)
@@ -75,7 +76,7 @@
 	return s.Faults.Wrap(mux)
 }
 
-// step is how often a fetch looks at how many share the store.
+// step is the interval at which a fetch adapts its speed to the number of active fetches.
 const step = 10 * time.Millisecond
 
 func (s *Store) fetch(w http.ResponseWriter, r *http.Request) {
@@ -101,6 +102,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
+// enter adds n to the active fetches.
 func (s *Store) enter(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -111,6 +113,7 @@
 	}
 }
 
+// speed returns the present speed of a fetch, as a fraction of full speed.
 func (s *Store) speed() float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
