--- a/standin/engine/complete.go
+++ b/standin/engine/complete.go
@@ -52,7 +52,7 @@
 	if prompt == "" {
 		prompt = string(req.Messages)
 	}
-	e.tellState(w.Header())
+	e.setSignals(w.Header())
 	if refusal := e.start(req.Model, r.Header.Get(protocol.HeaderRequestID)); refusal != nil {
 		refusal.WriteTo(w)
 		return
@@ -60,8 +60,8 @@
 	defer e.end(req.Model)
 	attempt := r.Header.Get(protocol.HeaderAttemptID)
 	e.mu.Lock()
-	cutAt := e.cutAt
-	if e.crossed {
+	cutAfter := e.cutAfter
+	if e.wrongAttemptID {
 		attempt = "another-" + attempt
 	}
 	e.mu.Unlock()
@@ -72,7 +72,7 @@
 		return
 	}
 	from, _ := strconv.Atoi(r.Header.Get(protocol.HeaderResumeOffset))
-	e.stream(w, r, req, prompt, attempt, from, cutAt)
+	e.stream(w, r, req, prompt, attempt, from, cutAfter)
 }
 
 func writeWhole(w http.ResponseWriter, req completionRequest, prompt string) {
@@ -85,11 +85,11 @@
 	_, _ = w.Write(body)
 }
 
-func (e *Engine) stream(w http.ResponseWriter, r *http.Request, req completionRequest, prompt, attempt string, from, cutAt int) {
+func (e *Engine) stream(w http.ResponseWriter, r *http.Request, req completionRequest, prompt, attempt string, from, cutAfter int) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	flusher, _ := w.(http.Flusher)
 	for i := from; i < req.MaxTokens; i++ {
-		if cutAt > 0 && i-from >= cutAt {
+		if cutAfter > 0 && i-from >= cutAfter {
 			panic(http.ErrAbortHandler)
 		}
 		select {
@@ -108,9 +108,9 @@
 	_, _ = fmt.Fprintf(w, "id: %s:%d\ndata: [DONE]\n\n", attempt, req.MaxTokens+1)
 }
 
-// tellState sets the headers by which an answer announces that the engine is
+// setSignals sets the headers by which an answer announces that the engine is
 // leaving or asks for a pause.
-func (e *Engine) tellState(h http.Header) {
+func (e *Engine) setSignals(h http.Header) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.leaving {
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -37,20 +37,20 @@
 type Engine struct {
 	Faults *fault.Injector
 
-	opt     Options
-	client  *http.Client
-	mu      sync.Mutex
-	units   map[string]*unit
-	cached  map[string]protocol.Tier
-	fence   uint64
-	version uint64
-	leaving bool
-	running int
-	stats   Stats
-	lagAt   time.Time // last update of the reported running counts
-	cutAt   int       // cut streams after this many tokens; 0: never
-	crossed bool      // answer with a wrong attempt id
-	pause   string    // Retry-After in seconds with which all requests are refused; empty: requests are served
+	opt            Options
+	client         *http.Client
+	mu             sync.Mutex
+	units          map[string]*unit
+	cached         map[string]protocol.Tier
+	fence          uint64
+	version        uint64
+	leaving        bool
+	running        int
+	stats          Stats
+	reportedAt     time.Time // last update of the reported running counts
+	cutAfter       int       // cut streams after this many tokens; 0: never
+	wrongAttemptID bool      // answer with a wrong attempt id
+	pause          string    // Retry-After in seconds with which all requests are refused; empty: requests are served
 }
 
 // Stats are the engine's own counts. Tests compare them with what daemons
@@ -117,7 +117,7 @@
 func (e *Engine) CutStreamsAfter(n int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.cutAt = n
+	e.cutAfter = n
 }
 
 // SetWrongAttemptID makes the engine answer with the id of another attempt than
@@ -125,7 +125,7 @@
 func (e *Engine) SetWrongAttemptID(yes bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.crossed = yes
+	e.wrongAttemptID = yes
 }
 
 // Preload puts a unit into memory without an order, as operators' scripts do.
@@ -152,8 +152,8 @@
 func (e *Engine) state() protocol.EngineState {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if now := time.Now(); now.Sub(e.lagAt) >= e.opt.ReportLag {
-		e.lagAt = now
+	if now := time.Now(); now.Sub(e.reportedAt) >= e.opt.ReportLag {
+		e.reportedAt = now
 		for _, u := range e.units {
 			if u.reported != u.Running {
 				u.reported = u.Running
--- a/standin/platform/platform.go
+++ b/standin/platform/platform.go
@@ -66,10 +66,10 @@
 	objects    map[string]*Object
 	log        []Object      // all changes, ordered by version, for watches
 	changed    chan struct{} // closed at each change
-	gone       chan struct{} // closed at the next restore, which ends waiting watches without an answer
+	restored   chan struct{} // closed at the next restore, which ends waiting watches without an answer
 	counts     Counts
 	hosts      []hostChange
-	lag        time.Duration
+	hostLag    time.Duration
 	writes     *rate.Limiter
 	reads      *rate.Limiter
 }
@@ -84,8 +84,8 @@
 // New returns an empty platform.
 func New(opt Options) *Platform {
 	return &Platform{
-		Faults: fault.New(), generation: 1, objects: map[string]*Object{}, changed: make(chan struct{}), gone: make(chan struct{}),
-		counts: Counts{ByKind: map[string]int{}}, lag: opt.HostLag,
+		Faults: fault.New(), generation: 1, objects: map[string]*Object{}, changed: make(chan struct{}), restored: make(chan struct{}),
+		counts: Counts{ByKind: map[string]int{}}, hostLag: opt.HostLag,
 		writes: limiter(opt.WritesPerSecond), reads: limiter(opt.ReadsPerSecond),
 	}
 }
@@ -127,14 +127,14 @@
 	mux.HandleFunc("GET /hosts", p.getHosts)
 	mux.HandleFunc("POST /control/hosts", p.postHosts)
 	mux.HandleFunc("GET /control/counts", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, p.Counts()) })
-	return p.Faults.Wrap(p.named(mux))
+	return p.Faults.Wrap(p.withGeneration(mux))
 }
 
 // headerGeneration is the header of each answer with the platform's generation.
 const headerGeneration = "Platform-Generation"
 
-// named adds the generation's header to the answers of next.
-func (p *Platform) named(next http.Handler) http.Handler {
+// withGeneration adds the generation's header to the answers of next.
+func (p *Platform) withGeneration(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		p.mu.Lock()
 		w.Header().Set(headerGeneration, strconv.FormatUint(p.generation, 10))
@@ -165,8 +165,8 @@
 	defer p.mu.Unlock()
 	p.generation++
 	p.revision, p.objects, p.log = c.revision, maps.Clone(c.objects), slices.Clone(c.log)
-	close(p.gone)
-	p.gone = make(chan struct{})
+	close(p.restored)
+	p.restored = make(chan struct{})
 }
 
 func writeJSON(w http.ResponseWriter, v any) {
@@ -309,7 +309,7 @@
 	kinds := strings.Split(q.Get("kinds"), ",")
 	p.mu.Lock()
 	p.counts.Watches++
-	gone := p.gone
+	restored := p.restored
 	p.mu.Unlock()
 	timeout := time.After(time.Duration(waitMs) * time.Millisecond)
 	for {
@@ -324,7 +324,7 @@
 		}
 		select {
 		case <-changed:
-		case <-gone:
+		case <-restored:
 			panic(http.ErrAbortHandler)
 		case <-timeout:
 			writeJSON(w, found)
@@ -366,7 +366,7 @@
 	p.counts.Hosts++
 	list, version := []Host{}, 0
 	for i, c := range p.hosts {
-		if time.Since(c.at) >= p.lag {
+		if time.Since(c.at) >= p.hostLag {
 			list, version = c.list, i+1
 		}
 	}
--- a/standin/service/service.go
+++ b/standin/service/service.go
@@ -21,14 +21,14 @@
 	Name   string
 	Work   time.Duration // time that each call takes
 
-	mu      sync.Mutex
-	runs    map[string]int // by idempotency key
-	calls   int
-	leaving bool
-	lastNew time.Time // arrival of the last call
-	limit   string    // rate limit reported in answers; empty: none
-	pause   string    // Retry-After in seconds with which all calls are refused; empty: calls are served
-	arrived []time.Time
+	mu          sync.Mutex
+	runs        map[string]int // by idempotency key
+	calls       int
+	leaving     bool
+	lastArrival time.Time // arrival of the last call
+	limit       string    // rate limit reported in answers; empty: none
+	pause       string    // Retry-After in seconds with which all calls are refused; empty: calls are served
+	arrivals    []time.Time
 }
 
 // New returns a service whose calls take the time work.
@@ -51,7 +51,7 @@
 func (s *Service) Calls() (int, time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.calls, s.lastNew
+	return s.calls, s.lastArrival
 }
 
 // SetLeaving makes the service announce in its answers that it is leaving. It
@@ -82,7 +82,7 @@
 func (s *Service) Arrivals() []time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return slices.Clone(s.arrived)
+	return slices.Clone(s.arrivals)
 }
 
 // Handler serves any method and path as a call, beside the health check and
@@ -113,8 +113,8 @@
 	}
 	s.mu.Lock()
 	s.calls++
-	s.lastNew = time.Now()
-	s.arrived = append(s.arrived, s.lastNew)
+	s.lastArrival = time.Now()
+	s.arrivals = append(s.arrivals, s.lastArrival)
 	if s.limit != "" {
 		w.Header().Set(protocol.HeaderRateLimit, s.limit)
 	}
--- a/standin/store/store.go
+++ b/standin/store/store.go
@@ -30,17 +30,17 @@
 type Store struct {
 	Faults *fault.Injector
 
-	opt     Options
-	limiter *rate.Limiter
-	mu      sync.Mutex
-	counts  Counts
-	slow    float64
+	opt      Options
+	limiter  *rate.Limiter
+	mu       sync.Mutex
+	counts   Counts
+	slowdown float64
 }
 
 // New returns an idle store.
 func New(opt Options) *Store {
 	return &Store{
-		Faults: fault.New(), opt: opt, slow: 1,
+		Faults: fault.New(), opt: opt, slowdown: 1,
 		limiter: rate.NewLimiter(rate.Limit(opt.LoadsPerSecond), max(1, int(opt.LoadsPerSecond))),
 	}
 }
@@ -49,7 +49,7 @@
 func (s *Store) SetSlowdown(f float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.slow = f
+	s.slowdown = f
 }
 
 // Counts returns the counts of fetches.
@@ -88,22 +88,22 @@
 	if s.limiter.Wait(r.Context()) != nil {
 		return
 	}
-	s.enter(1)
-	defer s.enter(-1)
-	left := float64(s.opt.PerGiB) * float64(mib) / 1024
-	for left > 0 {
+	s.addActive(1)
+	defer s.addActive(-1)
+	remaining := float64(s.opt.PerGiB) * float64(mib) / 1024
+	for remaining > 0 {
 		select {
 		case <-time.After(step):
 		case <-r.Context().Done():
 			return
 		}
-		left -= float64(step) * s.speed()
+		remaining -= float64(step) * s.speed()
 	}
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// enter adds n to the active fetches.
-func (s *Store) enter(n int) {
+// addActive adds n to the active fetches.
+func (s *Store) addActive(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.counts.Active += n
@@ -117,5 +117,5 @@
 func (s *Store) speed() float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return min(1, float64(s.opt.AtOnce)/float64(max(1, s.counts.Active))) / s.slow
+	return min(1, float64(s.opt.AtOnce)/float64(max(1, s.counts.Active))) / s.slowdown
 }
