--- a/cmd/doorvalve-standin/fleet.go
+++ b/cmd/doorvalve-standin/fleet.go
@@ -16,6 +16,8 @@
 	"github.com/doorvalve/doorvalve/state/bundle"
 )
 
+// fleetCmd runs the platform, engines and plain services in one process and
+// writes a bundle that declares them.
 type fleetCmd struct {
 	Platform string        `required:"" help:"IP:port of the platform."`
 	Engines  int           `default:"9" help:"Model engines."`
@@ -31,6 +33,8 @@
 	Reads    int           `default:"2000" help:"The platform's reads and watches a second."`
 }
 
+// Sizes in MiB: the memory of an engine, the part of it that the bundle
+// reserves for KV caches, and a model.
 const (
 	fleetMemory  = 81920
 	fleetReserve = 8192
@@ -39,7 +43,8 @@
 
 var domains = []string{"hall-a", "hall-b", "hall-c"}
 
-// Run serves until the process is ended.
+// Run starts the stand-ins, writes the bundle and serves until a listener fails
+// or the process ends.
 func (c *fleetCmd) Run() error {
 	p := platform.New(platform.Options{WritesPerSecond: c.Writes, ReadsPerSecond: c.Reads})
 	b := bundle.Bundle{
--- a/cmd/doorvalve-standin/main.go
+++ b/cmd/doorvalve-standin/main.go
@@ -1,6 +1,6 @@
-// Command doorvalve-standin runs small stand-ins for the systems that
-// doorvalve serves or uses: the platform, the weight store, model engines and
-// plain services. It is for demonstrations and tests only.
+// Command doorvalve-standin runs small stand-ins for the systems around
+// doorvalve: the platform, the weight store, model engines and plain services.
+// It is for demonstrations and tests only.
 package main
 
 import (
@@ -22,7 +22,7 @@
 	HostLag time.Duration `default:"3s" help:"Age of the host list."`
 }
 
-// Run serves the platform.
+// Run serves the platform until the listener fails.
 func (c *platformCmd) Run() error {
 	return serve(c.Listen, platform.New(platform.Options{WritesPerSecond: c.Writes, ReadsPerSecond: c.Reads, HostLag: c.HostLag}).Handler())
 }
@@ -34,7 +34,7 @@
 	PerGiB time.Duration `default:"100ms" help:"Time to read one GiB."`
 }
 
-// Run serves the weight store.
+// Run serves the weight store until the listener fails.
 func (c *storeCmd) Run() error {
 	return serve(c.Listen, store.New(store.Options{LoadsPerSecond: c.Rate, AtOnce: c.AtOnce, PerGiB: c.PerGiB}).Handler())
 }
@@ -51,7 +51,7 @@
 	LoadTime  time.Duration `default:"1s" help:"Time of a load without a weight store."`
 }
 
-// Run serves one engine.
+// Run serves one engine until the listener fails.
 func (c *engineCmd) Run() error {
 	return serve(c.Listen, engine.New(engine.Options{
 		Name: c.Name, MemoryMiB: c.Memory, Slots: c.Slots, ChecksFencing: c.Fencing, TokenTime: c.TokenTime,
@@ -65,7 +65,7 @@
 	Work   time.Duration `default:"5ms" help:"Time of each call."`
 }
 
-// Run serves one plain service.
+// Run serves one plain service until the listener fails.
 func (c *serviceCmd) Run() error {
 	return serve(c.Listen, service.New(c.Name, c.Work).Handler())
 }
