--- a/cmd/doorvalve-bench/call.go
+++ b/cmd/doorvalve-bench/call.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// callCmd is a small HTTP client, so that scripts need no other.
+// callCmd is a small HTTP client, so that scripts don't depend on another program.
 type callCmd struct {
 	URL     string        `arg:""`
 	Data    string        `help:"Body; with one, the method is POST."`
@@ -20,7 +20,9 @@
 	Timeout time.Duration `default:"60s"`
 }
 
-// Run sends one request to a loopback address.
+// Run sends one request to a loopback address and prints the body of the
+// answer, or the status and the time taken. Connection errors are retried for
+// the time Wait.
 func (c *callCmd) Run() error {
 	if err := loopback(c.URL); err != nil {
 		return err
--- a/cmd/doorvalve-bench/csv.go
+++ b/cmd/doorvalve-bench/csv.go
@@ -8,13 +8,13 @@
 	"strconv"
 )
 
-// point is one measurement: metric's value y at size x of what is varied.
+// point is one measurement: the value y of a metric at the size x of the varied quantity.
 type point struct {
 	role, metric, unit, varied string
 	x, y                       float64
 }
 
-// write appends points as CSV lines: role,metric,unit,varied,x,y.
+// write writes points as CSV lines: role,metric,unit,varied,x,y.
 func write(w io.Writer, points ...point) error {
 	out := csv.NewWriter(w)
 	for _, p := range points {
@@ -26,6 +26,7 @@
 	return out.Error()
 }
 
+// read reads the points of a CSV file that write has written.
 func read(file string) ([]point, error) {
 	f, err := os.Open(file)
 	if err != nil {
--- a/cmd/doorvalve-bench/fit.go
+++ b/cmd/doorvalve-bench/fit.go
@@ -22,7 +22,7 @@
 	Page  string `default:"docs/CAPACITY.md" help:"Page whose table is replaced, between its marks."`
 }
 
-// Marks between which the page's table stands.
+// Marks around the table that replaceTable writes.
 const (
 	tableBegin = "<!-- slopes: written by doorvalve-bench fit -->"
 	tableEnd   = "<!-- end of slopes -->"
@@ -33,11 +33,11 @@
 	role, metric, unit, varied string
 	xs, ys                     []float64
 	a, b                       float64 // y = a + b*x
-	spread                     float64 // largest distance from the line over the largest y
-	shape                      string
+	spread                     float64 // largest distance of a measurement from the line, divided by the largest y
+	shape                      string  // class of growth, see classify
 }
 
-// Run fits, plots and writes the table.
+// Run fits a line to each metric, plots it and replaces the table on the page.
 func (c *fitCmd) Run() error {
 	points, err := read(c.CSV)
 	if err != nil {
@@ -62,6 +62,8 @@
 	return replaceTable(c.Page, table.String())
 }
 
+// fit groups points by role, metric and varied quantity and fits a line to each
+// group by least squares. The result is sorted by role.
 func fit(points []point) []*slope {
 	byKey := map[string]*slope{}
 	var list []*slope
@@ -86,16 +88,16 @@
 	return list
 }
 
-// Bounds of the classes of growth, as the exponent between the first and the
-// last size.
+// Bounds of the classes of growth: k in y ~ x^k between the first and the last
+// size.
 const (
 	flatBelow   = 0.15
 	worseAbove  = 1.25
 	linearAbove = 0.75
 )
 
-// classify names the growth by the exponent between the smallest and the
-// largest size.
+// classify returns the class of growth by the exponent between the first and
+// the last size. Measurements must be in order of size.
 func (s *slope) classify() string {
 	first, last := 0, len(s.xs)-1
 	if s.ys[first] <= 0 || s.ys[last] <= 0 {
@@ -116,6 +118,7 @@
 
 var notInName = regexp.MustCompile(`[^a-z0-9]+`)
 
+// file returns the name of the plot's file.
 func (s *slope) file() string {
 	return strings.Trim(notInName.ReplaceAllString(strings.ToLower(s.role+" "+s.metric+" by "+s.varied), "-"), "-") + ".png"
 }
@@ -138,6 +141,7 @@
 	return p.Save(12*vg.Centimeter, 8*vg.Centimeter, file)
 }
 
+// replaceTable replaces the text between the marks on a page.
 func replaceTable(page, table string) error {
 	content, err := os.ReadFile(page)
 	if err != nil {
--- a/cmd/doorvalve-bench/inforce.go
+++ b/cmd/doorvalve-bench/inforce.go
@@ -16,11 +16,12 @@
 	X          float64  `required:"" help:"Number of daemons."`
 }
 
-// inForceLimit bounds the wait.
+// inForceLimit is the longest time to wait for a generation.
 const inForceLimit = time.Minute
 
-// Run prints the time until every daemon runs the generation. It starts when
-// the rollout's answer has come, so it is too short by less than that answer.
+// Run prints the time until every daemon runs the generation. The time starts
+// after the answer to the rollout, so the result is too short by at most the
+// time that the answer took.
 func (c *inForceCmd) Run() error {
 	start := time.Now()
 	var wg sync.WaitGroup
--- a/cmd/doorvalve-bench/load.go
+++ b/cmd/doorvalve-bench/load.go
@@ -24,17 +24,18 @@
 	Timeout  time.Duration `default:"30s" help:"Of each request."`
 }
 
-// maxRequests bounds a run.
+// maxRequests is the largest number of requests of each kind.
 const maxRequests = 1_000_000
 
-// measured is what one kind of request took.
+// measured holds the results of one kind of request: through a daemon or direct.
 type measured struct {
-	latency *hdrhistogram.Histogram // microseconds
-	took    time.Duration
+	latency *hdrhistogram.Histogram // of successful requests, in microseconds
+	took    time.Duration           // all rounds
 	failed  int
 }
 
-// Run sends both kinds in turn and prints both, with the ratio.
+// Run alternates between both kinds of request for all rounds and prints a table
+// of their rates and latencies, with the ratio.
 func (c *loadCmd) Run() error {
 	for _, u := range []string{c.Daemon, c.Direct} {
 		if err := loopback(u); err != nil {
@@ -65,12 +66,14 @@
 	return &measured{latency: hdrhistogram.New(1, time.Minute.Microseconds(), 3)}
 }
 
+// rate returns the successful requests a second.
 func (m *measured) rate() float64 { return float64(m.latency.TotalCount()) / m.took.Seconds() }
 
-// quantile returns a latency in milliseconds.
+// quantile returns the latency at a percentile (0 to 100), in milliseconds.
 func (m *measured) quantile(q float64) float64 { return float64(m.latency.ValueAtQuantile(q)) / 1000 }
 
-// loopback refuses any target that is not on this machine.
+// loopback returns an error if the target's host is not a loopback address. This
+// tool must not send load to other machines.
 func loopback(target string) error {
 	u, err := url.Parse(target)
 	if err != nil {
@@ -83,6 +86,7 @@
 	return nil
 }
 
+// send sends one round of requests and adds the results to m.
 func (c *loadCmd) send(client *http.Client, target string, m *measured) {
 	start := time.Now()
 	var mu sync.Mutex
@@ -108,6 +112,7 @@
 	m.took += time.Since(start)
 }
 
+// one sends a request and reads the whole answer. Any status but 200 is an error.
 func (c *loadCmd) one(client *http.Client, target string) error {
 	method := http.MethodGet
 	if c.Body != "" {
--- a/cmd/doorvalve-bench/main.go
+++ b/cmd/doorvalve-bench/main.go
@@ -1,6 +1,7 @@
-// Command doorvalve-bench measures doorvalve: its policies in virtual time, a
-// daemon's cost beside a direct call, and the slopes that docs/CAPACITY.md is
-// worked out from. It sends load to loopback addresses only.
+// Command doorvalve-bench measures doorvalve: its policies in virtual time, the
+// cost of a request through a daemon compared with a direct request, and how
+// costs grow with the size of an installation, from which docs/CAPACITY.md is
+// computed. It sends load to loopback addresses only.
 package main
 
 import (
--- a/cmd/doorvalve-bench/policy.go
+++ b/cmd/doorvalve-bench/policy.go
@@ -18,7 +18,7 @@
 	"github.com/doorvalve/doorvalve/state/bundle"
 )
 
-// site is one deployment with its calls.
+// site is an example deployment with the arrivals to replay.
 type site struct {
 	name, file, service string
 	shapes              []replay.Shape
@@ -51,13 +51,15 @@
 	Plot string `help:"Folder for a plot of each deployment."`
 }
 
-// variant is one row of the table.
+// variant is a policy to compare, one row of the table.
 type variant struct {
 	name     string
 	policy   placement.Policy
 	eviction placement.Eviction
 }
 
+// variants returns the policies to compare for a bundle; own is the cold start
+// weight that the bundle sets.
 func variants(b *bundle.Bundle, own float64) []variant {
 	list := []variant{
 		{"unload never", replay.Never, placement.EvictNever},
@@ -78,7 +80,8 @@
 	return list
 }
 
-// Run prints a table for each deployment.
+// Run replays the arrivals of each deployment under all policies and prints a
+// table for each deployment.
 func (c *policyCmd) Run() error {
 	for _, s := range sites() {
 		b, err := load(s.file)
@@ -108,13 +111,15 @@
 	return nil
 }
 
-// tradeOff is the curve between the two measures.
+// tradeOff collects the points of a plot for one deployment: seconds waited for
+// loads against idle accelerator hours.
 type tradeOff struct {
 	title          string
 	learned, fixed plotter.XYs
 }
 
-// add takes a run in; runs that refused requests are not comparable.
+// add adds a run's result. Runs that refused requests are left out, because their
+// results are not comparable with the others'.
 func (t *tradeOff) add(v variant, r replay.Result) {
 	if r.Refused > 0 {
 		return
@@ -145,7 +150,8 @@
 
 const overloadLength = 5 * time.Minute
 
-// Run prints what each class got, by order of admission.
+// Run replays an overload of each deployment by each order of admission and
+// prints the requests served and refused by class.
 func (c *overloadCmd) Run() error {
 	for _, s := range sites() {
 		b, err := load(s.file)
--- a/cmd/doorvalve-bench/rest.go
+++ b/cmd/doorvalve-bench/rest.go
@@ -23,15 +23,16 @@
 	X        float64       `required:"" help:"Its size."`
 }
 
-// sample is one daemon's totals.
+// sample holds the totals of one daemon at one time.
 type sample struct {
 	dump daemon.Dump
 	cpu  time.Duration
 	rss  float64 // MB
 }
 
-// Run prints one CSV line a metric: the mean of all daemons, and the most that
-// one spends (the coordinators do more than the others).
+// Run prints CSV lines for each metric, with the mean of all daemons and with
+// the largest value of any daemon: coordinators spend more than other daemons.
+// For the platform it prints the calls and the writes a second in total.
 func (c *restCmd) Run() error {
 	before, countsBefore, err := c.sample()
 	if err != nil {
@@ -70,6 +71,7 @@
 	return write(os.Stdout, points...)
 }
 
+// sample reads the totals of all daemons and the platform's counts.
 func (c *restCmd) sample() ([]sample, standin.Counts, error) {
 	var counts standin.Counts
 	if err := getJSON(c.Platform+"/control/counts", "", &counts); err != nil {
@@ -88,6 +90,7 @@
 	return list, counts, nil
 }
 
+// getJSON decodes the answer to a GET request into v. Any status but 200 is an error.
 func getJSON(url, token string, v any) error {
 	req, err := http.NewRequest(http.MethodGet, url, nil)
 	if err != nil {
@@ -107,10 +110,11 @@
 	return json.NewDecoder(resp.Body).Decode(v)
 }
 
-// clockTicks is the kernel's USER_HZ, 100 on every Linux that Go supports.
+// clockTicks is USER_HZ, the unit of processor times in /proc in ticks a second:
+// 100 on every Linux that Go supports.
 const clockTicks = 100
 
-// usage reads a process's processor time and resident memory.
+// usage returns the processor time of a process so far and its resident memory in MB.
 func usage(pid int) (cpu time.Duration, rssMB float64, err error) {
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
--- a/cmd/doorvalve-bench/slopes.go
+++ b/cmd/doorvalve-bench/slopes.go
@@ -23,7 +23,7 @@
 
 type slopesCmd struct{}
 
-// Run prints one CSV line a measurement.
+// Run prints one CSV line for each measurement.
 func (*slopesCmd) Run() error {
 	for _, measure := range []func() []point{configuration, groupByEndpoints, groupByUnits, sharing, reports, claimShards, members} {
 		if err := write(os.Stdout, measure()...); err != nil {
@@ -46,7 +46,7 @@
 	return float64(time.Since(start).Microseconds()) / float64(n)
 }
 
-// held returns the memory in KB that what f builds holds on to.
+// held returns the heap memory that the value built by f keeps in use, in KB.
 func held(f func() any) float64 {
 	var before, after runtime.MemStats
 	runtime.GC()
@@ -58,7 +58,7 @@
 	return max(0, float64(after.HeapAlloc)-float64(before.HeapAlloc)) / 1000
 }
 
-// makeBundle declares a group of engines with models and adapters.
+// makeBundle returns a bundle with one group of engines, its models and its adapters.
 func makeBundle(engines, models, adapters int) *bundle.Bundle {
 	b := &bundle.Bundle{
 		Format: bundle.Format, FailureDomains: []string{"a"}, AddressTTL: bundle.Duration(5 * time.Second), DefaultClass: "c",
@@ -80,7 +80,7 @@
 	return b
 }
 
-// configuration measures a bundle against the adapters that it declares.
+// configuration measures a bundle and its adoption by the number of adapters.
 func configuration() []point {
 	var points []point
 	for _, adapters := range []int{60, 300, 900, 1800} {
@@ -94,15 +94,16 @@
 	return points
 }
 
+// parse does the work of adopting a bundle.
 func parse(content []byte) *snapshot.Snapshot {
 	b, err := bundle.Parse("bench", content)
 	if err != nil {
-		panic(err) // the benchmark's own bundle is wrong
+		panic(err) // makeBundle returned an invalid bundle
 	}
 	return snapshot.New(1, "", content, b)
 }
 
-// group is a placement machine with everything loaded that is recorded.
+// group is a placement machine whose recorded units are all loaded.
 type group struct {
 	m      *placement.Machine
 	now    time.Time
@@ -136,7 +137,8 @@
 	return g
 }
 
-// observe is one round of endpoint reports with the decision after it.
+// observe passes one report of each endpoint to the machine and has it decide.
+// All orders that it returns succeed.
 func (g *group) observe() {
 	g.now = g.now.Add(time.Second)
 	for _, s := range g.states {
@@ -148,6 +150,7 @@
 	}
 }
 
+// groupByEndpoints measures a placement group by its number of endpoints.
 func groupByEndpoints() []point {
 	var points []point
 	for _, engines := range []int{9, 18, 36, 72} {
@@ -159,6 +162,7 @@
 	return points
 }
 
+// groupByUnits measures a placement group by the number of loaded adapters.
 func groupByUnits() []point {
 	var points []point
 	for _, adapters := range []int{60, 300, 900, 1800} {
@@ -174,7 +178,7 @@
 	return points
 }
 
-// sharing measures one allocation of slots against the daemons that report.
+// sharing measures one allocation of slots by the number of daemons that report demand.
 func sharing() []point {
 	var points []point
 	for _, daemons := range []int{7, 50, 150, 370} {
@@ -194,8 +198,8 @@
 	return points
 }
 
-// reports measures a daemon's report and its answer, without HTTP's headers,
-// against the units in use.
+// reports measures the size of a daemon's demand report and its answer, without
+// HTTP headers, by the number of units in use.
 func reports() []point {
 	var points []point
 	for _, units := range []int{1, 4, 16, 64} {
@@ -212,7 +216,7 @@
 	return points
 }
 
-// claimShards measures one shard against the claims a second that it takes.
+// claimShards measures one shard by the rate of its claims.
 func claimShards() []point {
 	var points []point
 	for _, rate := range []int{3, 10, 30, 100, 300} {
@@ -226,8 +230,8 @@
 	return points
 }
 
-// claimRun drives one shard for ten seconds of virtual time, with claims
-// evenly spread and a platform that answers in 3 ms.
+// claimRun runs one shard for ten seconds of virtual time with evenly spread
+// claims and a platform that answers within 3 ms.
 func claimRun(rate int) (writesPerSecond, bytesPerSecond float64) {
 	const seconds, answer = 10, 3 * time.Millisecond
 	s := claims.NewShard(claims.Options{Owner: "bench", Interval: claims.DefaultInterval, RetryWait: time.Second, Retention: time.Hour, MaxOpen: claims.DefaultMaxOpen})
@@ -263,6 +267,7 @@
 	return float64(writes) / seconds, float64(bytes) / seconds
 }
 
+// claimIndex returns an index of n keys, as a shard holds it in memory.
 func claimIndex(n int) any {
 	index := make(map[claims.Key]claims.ClaimHash, n)
 	for i := range n {
@@ -271,8 +276,9 @@
 	return index
 }
 
-// members measures a view's memory; its traffic is measured by daemons and by
-// the membership package's test.
+// members measures the memory of a membership view by the number of daemons. The
+// traffic is measured by the rest command on running daemons, and by a test of
+// the membership package.
 func members() []point {
 	var points []point
 	for _, n := range []int{7, 50, 150, 370} {
