--- a/cmd/doorvalve-bench/fit.go
+++ b/cmd/doorvalve-bench/fit.go
@@ -116,11 +116,11 @@
 	}
 }
 
-var notInName = regexp.MustCompile(`[^a-z0-9]+`)
+var nameSeparators = regexp.MustCompile(`[^a-z0-9]+`)
 
 // file returns the name of the plot's file.
 func (s *slope) file() string {
-	return strings.Trim(notInName.ReplaceAllString(strings.ToLower(s.role+" "+s.metric+" by "+s.varied), "-"), "-") + ".png"
+	return strings.Trim(nameSeparators.ReplaceAllString(strings.ToLower(s.role+" "+s.metric+" by "+s.varied), "-"), "-") + ".png"
 }
 
 func (s *slope) plot(file string) error {
--- a/cmd/doorvalve-bench/inforce.go
+++ b/cmd/doorvalve-bench/inforce.go
@@ -16,8 +16,8 @@
 	X          float64  `required:"" help:"Number of daemons."`
 }
 
-// inForceLimit is the longest time to wait for a generation.
-const inForceLimit = time.Minute
+// maxInForceWait is the longest time to wait for a generation.
+const maxInForceWait = time.Minute
 
 // Run prints the time until every daemon runs the generation. The time starts
 // after the answer to the rollout, so the result is too short by at most the
@@ -28,7 +28,7 @@
 	failed := make([]bool, len(c.Address))
 	for i, a := range c.Address {
 		wg.Go(func() {
-			for time.Since(start) < inForceLimit {
+			for time.Since(start) < maxInForceWait {
 				var d daemon.Dump
 				if getJSON("http://"+a+"/debug/state", c.Token, &d) == nil && d.Generation >= c.Generation {
 					return
@@ -41,7 +41,7 @@
 	wg.Wait()
 	for _, f := range failed {
 		if f {
-			return errors.New("not in force everywhere within " + inForceLimit.String())
+			return errors.New("not in force everywhere within " + maxInForceWait.String())
 		}
 	}
 	return write(os.Stdout, point{"configuration", "accepted until in force everywhere", "ms", "daemons", c.X, float64(time.Since(start).Microseconds()) / 1000})
--- a/cmd/doorvalve-bench/load.go
+++ b/cmd/doorvalve-bench/load.go
@@ -93,18 +93,18 @@
 	var wg sync.WaitGroup
 	for range c.Callers {
 		wg.Go(func() {
-			mine, failed := hdrhistogram.New(1, time.Minute.Microseconds(), 3), 0
+			latency, failed := hdrhistogram.New(1, time.Minute.Microseconds(), 3), 0
 			for range c.Requests / c.Callers {
 				begin := time.Now()
-				if err := c.one(client, target); err != nil {
+				if err := c.request(client, target); err != nil {
 					failed++
 					continue
 				}
-				_ = mine.RecordValue(max(1, time.Since(begin).Microseconds()))
+				_ = latency.RecordValue(max(1, time.Since(begin).Microseconds()))
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			m.latency.Merge(mine)
+			m.latency.Merge(latency)
 			m.failed += failed
 		})
 	}
@@ -112,8 +112,8 @@
 	m.took += time.Since(start)
 }
 
-// one sends a request and reads the whole answer. Any status but 200 is an error.
-func (c *loadCmd) one(client *http.Client, target string) error {
+// request sends a request and reads the whole answer. Any status but 200 is an error.
+func (c *loadCmd) request(client *http.Client, target string) error {
 	method := http.MethodGet
 	if c.Body != "" {
 		method = http.MethodPost
--- a/cmd/doorvalve-bench/rest.go
+++ b/cmd/doorvalve-bench/rest.go
@@ -45,13 +45,13 @@
 	}
 	seconds := c.For.Seconds()
 	row := func(role, metric, unit string, value func(a, b sample) float64) []point {
-		sum, most := 0.0, 0.0
+		sum, largest := 0.0, 0.0
 		for i := range before {
 			v := value(before[i], after[i])
 			sum += v
-			most = max(most, v)
+			largest = max(largest, v)
 		}
-		return []point{{role, metric + ", mean", unit, c.Varied, c.X, sum / float64(len(before))}, {role, metric + ", most", unit, c.Varied, c.X, most}}
+		return []point{{role, metric + ", mean", unit, c.Varied, c.X, sum / float64(len(before))}, {role, metric + ", most", unit, c.Varied, c.X, largest}}
 	}
 	points := row("membership", "peer traffic", "B/s", func(a, b sample) float64 {
 		return float64(b.dump.Bytes.Peers.In+b.dump.Bytes.Peers.Out-a.dump.Bytes.Peers.In-a.dump.Bytes.Peers.Out) / seconds
--- a/cmd/doorvalve-bench/slopes.go
+++ b/cmd/doorvalve-bench/slopes.go
@@ -33,21 +33,21 @@
 	return nil
 }
 
-// timed returns the mean time of f in microseconds, over at least a quarter of
+// meanMicroseconds returns the mean time of f in microseconds, over at least a quarter of
 // a second.
-func timed(f func()) float64 {
-	const least = 250 * time.Millisecond
+func meanMicroseconds(f func()) float64 {
+	const minTime = 250 * time.Millisecond
 	f()
 	start, n := time.Now(), 0
-	for time.Since(start) < least {
+	for time.Since(start) < minTime {
 		f()
 		n++
 	}
 	return float64(time.Since(start).Microseconds()) / float64(n)
 }
 
-// held returns the heap memory that the value built by f keeps in use, in KB.
-func held(f func() any) float64 {
+// heapKB returns the heap memory that the value built by f keeps in use, in KB.
+func heapKB(f func() any) float64 {
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
@@ -88,8 +88,8 @@
 		x := float64(adapters)
 		points = append(points,
 			point{"configuration", "bundle", "KB", "adapters", x, float64(len(content)) / 1000},
-			point{"configuration", "adoption of a generation", "µs", "adapters", x, timed(func() { parse(content) })},
-			point{"configuration", "snapshot in memory", "KB", "adapters", x, held(func() any { return parse(content) })})
+			point{"configuration", "adoption of a generation", "µs", "adapters", x, meanMicroseconds(func() { parse(content) })},
+			point{"configuration", "snapshot in memory", "KB", "adapters", x, heapKB(func() any { return parse(content) })})
 	}
 	return points
 }
@@ -156,8 +156,8 @@
 	for _, engines := range []int{9, 18, 36, 72} {
 		g := newGroup(engines, 98, 200)
 		points = append(points,
-			point{"placement group", "one round of reports and decision", "µs", "endpoints", float64(engines), timed(g.observe)},
-			point{"placement group", "memory", "KB", "endpoints", float64(engines), held(func() any { return newGroup(engines, 98, 200) })})
+			point{"placement group", "one round of reports and decision", "µs", "endpoints", float64(engines), meanMicroseconds(g.observe)},
+			point{"placement group", "memory", "KB", "endpoints", float64(engines), heapKB(func() any { return newGroup(engines, 98, 200) })})
 	}
 	return points
 }
@@ -171,7 +171,7 @@
 		state, _ := json.Marshal(g.states[0])
 		x := float64(adapters)
 		points = append(points,
-			point{"placement group", "one round of reports and decision", "µs", "adapters loaded", x, timed(g.observe)},
+			point{"placement group", "one round of reports and decision", "µs", "adapters loaded", x, meanMicroseconds(g.observe)},
 			point{"placement group", "recorded object", "KB", "adapters loaded", x, float64(len(object)) / 1000},
 			point{"endpoint reports", "a changed report", "KB", "adapters loaded", x, float64(len(state)) / 1000})
 	}
@@ -183,9 +183,9 @@
 	var points []point
 	for _, daemons := range []int{7, 50, 150, 370} {
 		now := time.Unix(1_000_000, 0)
-		book := grants.NewAllocator()
+		allocator := grants.NewAllocator()
 		for d := range daemons {
-			book.Report(now, fmt.Sprintf("daemon-%d", d), []grants.UnitReport{{Unit: "model-0", InFlight: 1}, {Unit: "model-1", Waiting: []grants.Waiting{{Worth: 5, Count: 2, Deadline: now}}}})
+			allocator.Report(now, fmt.Sprintf("daemon-%d", d), []grants.UnitReport{{Unit: "model-0", InFlight: 1}, {Unit: "model-1", Waiting: []grants.Waiting{{Worth: 5, Count: 2, Deadline: now}}}})
 		}
 		var replicas []placement.Replica
 		for e := range 8 {
@@ -193,7 +193,7 @@
 				replicas = append(replicas, placement.Replica{Unit: fmt.Sprintf("model-%d", u), Endpoint: bundle.Endpoint{Name: fmt.Sprint("e", e), Slots: 64}})
 			}
 		}
-		points = append(points, point{"sharing of slots", "one allocation", "µs", "daemons", float64(daemons), timed(func() { book.Allocate(now, replicas) })})
+		points = append(points, point{"sharing of slots", "one allocation", "µs", "daemons", float64(daemons), meanMicroseconds(func() { allocator.Allocate(now, replicas) })})
 	}
 	return points
 }
@@ -225,7 +225,7 @@
 		points = append(points,
 			point{"claims", "writes of a shard", "1/s", "claims/s", x, writes},
 			point{"claims", "bytes written of a shard", "KB/s", "claims/s", x, bytes / 1000},
-			point{"claims", "memory of an hour's keys of a shard", "MB", "claims/s", x, held(func() any { return claimIndex(rate * 3600) }) / 1000})
+			point{"claims", "memory of an hour's keys of a shard", "MB", "claims/s", x, heapKB(func() any { return claimIndex(rate * 3600) }) / 1000})
 	}
 	return points
 }
@@ -236,21 +236,21 @@
 	const seconds, answer = 10, 3 * time.Millisecond
 	s := claims.NewShard(claims.Options{Owner: "bench", Interval: claims.DefaultInterval, RetryWait: time.Second, Retention: time.Hour, MaxOpen: claims.DefaultMaxOpen})
 	now := time.Unix(1_000_000, 0)
-	version, writes, bytes, asked := uint64(0), 0, 0, 0
-	var out claims.Event
+	version, writes, bytes, requested := uint64(0), 0, 0, 0
+	var pending claims.Event
 	var due time.Time
 	for end := now.Add(seconds * time.Second); now.Before(end); now = now.Add(time.Millisecond) {
-		for float64(asked) < float64(rate)*now.Sub(end.Add(-seconds*time.Second)).Seconds() {
-			asked++
-			s.Step(now, claims.Claim{Key: claims.MakeKey("c", "s", fmt.Sprint(asked)), ClaimID: fmt.Sprintf("entry-12-0123abcd-%x", asked)})
+		for float64(requested) < float64(rate)*now.Sub(end.Add(-seconds*time.Second)).Seconds() {
+			requested++
+			s.Step(now, claims.Claim{Key: claims.MakeKey("c", "s", fmt.Sprint(requested)), ClaimID: fmt.Sprintf("entry-12-0123abcd-%x", requested)})
 		}
-		if out != nil && !now.Before(due) {
-			s.Step(now, out)
-			out = nil
+		if pending != nil && !now.Before(due) {
+			s.Step(now, pending)
+			pending = nil
 		}
 		r := s.Ready(now)
 		if r.Read {
-			out, due = claims.ReadDone{Version: storeversion.Version{Revision: version}}, now.Add(answer)
+			pending, due = claims.ReadDone{Version: storeversion.Version{Revision: version}}, now.Add(answer)
 		}
 		if r.Write != nil {
 			body, _ := json.Marshal(r.Write.Head)
@@ -261,7 +261,7 @@
 				body, _ = json.Marshal(r.Write.Seal)
 				bytes += len(body)
 			}
-			out, due = claims.WriteDone{Outcome: protocol.WriteOK, Version: storeversion.Version{Revision: version}}, now.Add(answer)
+			pending, due = claims.WriteDone{Outcome: protocol.WriteOK, Version: storeversion.Version{Revision: version}}, now.Add(answer)
 		}
 	}
 	return float64(writes) / seconds, float64(bytes) / seconds
@@ -282,7 +282,7 @@
 func members() []point {
 	var points []point
 	for _, n := range []int{7, 50, 150, 370} {
-		points = append(points, point{"membership", "view in memory", "KB", "daemons", float64(n), held(func() any {
+		points = append(points, point{"membership", "view in memory", "KB", "daemons", float64(n), heapKB(func() any {
 			now := time.Unix(1_000_000, 0)
 			m := membership.New(membership.DefaultOptions(1), membership.Member{ID: "self"}, now)
 			for i := range n {
