--- a/e2e/answers_test.go
+++ b/e2e/answers_test.go
@@ -13,7 +13,7 @@
 	"github.com/doorvalve/doorvalve/standin/fault"
 )
 
-// runs adds up how often each request id ran at the engines.
+// runs returns how often each request id ran, summed over the engines.
 func (w *world) runs() map[string]int {
 	total := map[string]int{}
 	for _, e := range w.engines {
@@ -24,8 +24,8 @@
 	return total
 }
 
-// Streams are cut again and again: they are resumed, and each caller gets its
-// own answer byte for byte.
+// Engines close the connection of every stream after a few tokens. The daemons
+// must resume the streams, and each caller must get its own answer byte for byte.
 func TestAnswersCutStreamsResumed(t *testing.T) {
 	w := newWorld(t, defaults())
 	if _, _, r := w.daemons[0].stream("m0", "warm", 2); !r.ok() {
@@ -47,7 +47,8 @@
 	wg.Wait()
 }
 
-// An engine answers under another attempt's id: nothing of it reaches a caller.
+// Engines answer with the id of another attempt. Such an answer may belong to
+// another request, so no part of it may reach a caller.
 func TestAnswersCrossedNeverDelivered(t *testing.T) {
 	w := newWorld(t, defaults())
 	if _, r := w.daemons[0].complete("m0", "warm", 2); !r.ok() {
@@ -73,24 +74,25 @@
 	})
 }
 
-// Faults at each step of the path of a model's request: whatever is answered
-// "not run" ran at no engine, by the engines' own counts.
+// Injects a fault at each step of a model request. A request that is refused as
+// "not run" must not have run at any engine, by the engines' own counts; callers
+// rely on that when they send it again.
 func TestAnswersNotRunIsTrue(t *testing.T) {
 	steps := map[string]func(*world){
-		"endpoint fails":         func(w *world) { w.eachEngine(fault.Settings{Fail: true, Path: "/v1/"}) },
-		"answer lost":            func(w *world) { w.eachEngine(fault.Settings{LoseAnswers: -1, Path: "/v1/"}) },
-		"endpoint frozen":        func(w *world) { w.eachEngine(fault.Settings{Freeze: true, Path: "/v1/"}) },
-		"endpoint frozen wholly": func(w *world) { w.eachEngine(fault.Settings{Freeze: true}) },
-		"orders fail":            func(w *world) { w.eachEngine(fault.Settings{Fail: true, Path: "/orders"}) },
-		"platform away":          func(w *world) { w.platform.Faults.Set(fault.Settings{Fail: true}) },
-		"endpoint leaves":        func(w *world) { w.eachEngineLeaving() },
-		"coordinator is killed":  func(w *world) { w.holder().kill() },
+		"endpoint fails":               func(w *world) { w.eachEngine(fault.Settings{Fail: true, Path: "/v1/"}) },
+		"answer lost":                  func(w *world) { w.eachEngine(fault.Settings{LoseAnswers: -1, Path: "/v1/"}) },
+		"endpoint frozen":              func(w *world) { w.eachEngine(fault.Settings{Freeze: true, Path: "/v1/"}) },
+		"endpoint frozen on all paths": func(w *world) { w.eachEngine(fault.Settings{Freeze: true}) },
+		"orders fail":                  func(w *world) { w.eachEngine(fault.Settings{Fail: true, Path: "/orders"}) },
+		"platform unavailable":         func(w *world) { w.platform.Faults.Set(fault.Settings{Fail: true}) },
+		"endpoint leaves":              func(w *world) { w.eachEngineLeaving() },
+		"coordinator is killed":        func(w *world) { w.holder().kill() },
 		"coordinator is frozen": func(w *world) {
 			holder := w.holder()
 			holder.freeze()
 			time.AfterFunc(3*time.Second, holder.unfreeze)
 		},
-		"nothing, but a slow run": func(w *world) { w.eachEngine(fault.Settings{DelayMs: 300, Path: "/v1/"}) },
+		"no fault, slow run": func(w *world) { w.eachEngine(fault.Settings{DelayMs: 300, Path: "/v1/"}) },
 	}
 	for name, cause := range steps {
 		t.Run(name, func(t *testing.T) {
@@ -121,7 +123,7 @@
 			ask(12)
 			wg.Wait()
 			w.eachEngine(fault.Settings{})
-			time.Sleep(50 * time.Millisecond) // what was held back runs now
+			time.Sleep(50 * time.Millisecond) // calls that were frozen run now
 			ran := w.runs()
 			refused := 0
 			for _, r := range replies {
@@ -131,7 +133,7 @@
 				refused++
 				id := r.header.Get(protocol.HeaderRequestID)
 				if id == "" || ran[id] != before[id] {
-					t.Errorf("%q was \"not run\" (%s) and ran %d times", id, r.refusal.Reason, ran[id])
+					t.Errorf("request %q was refused as \"not run\" (%s) and ran %d times", id, r.refusal.Reason, ran[id])
 				}
 			}
 			t.Logf("%d of %d refused as not run", refused, len(replies))
@@ -151,7 +153,7 @@
 	}
 }
 
-// Bad input gets a clear 4xx, "not run".
+// Invalid requests must get a 4xx status with the reason and the verdict "not run".
 func TestAnswersBadInput(t *testing.T) {
 	w := newWorld(t, defaults())
 	p := w.daemons[0]
--- a/e2e/backpressure_test.go
+++ b/e2e/backpressure_test.go
@@ -11,7 +11,8 @@
 	"github.com/doorvalve/doorvalve/state/bundle"
 )
 
-// twoServices is an installation of two plain services alone.
+// twoServices starts daemons with two endpoints of a plain service and no engines,
+// and waits until they serve calls.
 func twoServices(t *testing.T) (w *world, one, other *service.Service) {
 	o := defaults()
 	o.engines, o.models, o.plain = 0, 0, 2
@@ -21,7 +22,7 @@
 	return w, w.services["app0"], w.services["app1"]
 }
 
-// cameBetween returns how many calls came to a service in some time.
+// cameBetween returns the number of calls that arrived at a service between two times.
 func cameBetween(s *service.Service, from, to time.Time) int {
 	n := 0
 	for _, at := range s.Arrivals() {
@@ -32,8 +33,8 @@
 	return n
 }
 
-// Guards against calls to an endpoint within a pause that it has asked for, also where there is no
-// other: then they are refused at once and told when the pause is over.
+// Guards against calls to an endpoint during a pause that it has asked for. If every endpoint has
+// asked for one, calls must be refused at once, with the end of the pause in Retry-After.
 func TestEndpointThatAsksForAPauseGetsIt(t *testing.T) {
 	const pause = 3 * time.Second
 	w, one, other := twoServices(t)
@@ -41,7 +42,7 @@
 	asked := time.Now()
 	served, all := w.press(pause)
 	if most, n := 2*len(w.daemons), cameBetween(one, asked.Add(500*time.Millisecond), asked.Add(pause)); n > most {
-		t.Errorf("%d calls of %d daemons within the pause", n, len(w.daemons))
+		t.Errorf("%d calls from %d daemons during the pause", n, len(w.daemons))
 	}
 	if served < all*99/100 {
 		t.Errorf("%d of %d served though another endpoint has room", served, all)
@@ -53,14 +54,15 @@
 	r := w.daemons[0].call("POST", "/services/app/x", "too many")
 	after, err := strconv.ParseFloat(r.header.Get("Retry-After"), 64)
 	if r.status != http.StatusServiceUnavailable || r.refusal.Reason != "endpoint-paused" || err != nil || after < 15 {
-		t.Errorf("with a pause everywhere a call got %d %q, Retry-After %q", r.status, r.refusal.Reason, r.header.Get("Retry-After"))
+		t.Errorf("with all endpoints pausing a call got %d %q, Retry-After %q", r.status, r.refusal.Reason, r.header.Get("Retry-After"))
 	}
 	if held := time.Since(began); held > time.Second {
-		t.Errorf("refused after %v", held)
+		t.Errorf("refused only after %v", held)
 	}
 }
 
-// Guards against calls to an endpoint that has said in its answers that it leaves.
+// Guards against calls to an endpoint that announces in its answers that it is leaving. Once its
+// answers no longer do so, as after a restart at the same address, it must be used again.
 func TestEndpointLeavesByItsAnswers(t *testing.T) {
 	const within = 2 * time.Second
 	w, one, _ := twoServices(t)
@@ -68,21 +70,21 @@
 	said := time.Now()
 	served, all := w.press(2 * within)
 	if n := cameBetween(one, said.Add(within), time.Now()); n > 0 {
-		t.Errorf("%d calls later than %v after it had begun to say so", n, within)
+		t.Errorf("%d calls later than %v after its first announcement", n, within)
 	}
 	if served < all*99/100 {
 		t.Errorf("%d of %d served though another endpoint has room", served, all)
 	}
-	one.SetLeaving(false) // the next process at its place
-	w.eventually("it is used again", func() bool {
+	one.SetLeaving(false) // stands for a new process at the same address
+	w.eventually("the endpoint is used again", func() bool {
 		from := time.Now()
 		w.press(500 * time.Millisecond)
 		return cameBetween(one, from, time.Now()) > 0
 	})
 }
 
-// Guards against callers who are refused until the only replica of their model takes requests again:
-// another engine loads it meanwhile.
+// If the engine with the only replica of a model asks for a pause, another engine must load the
+// model. Otherwise callers are refused until the pause is over.
 func TestModelOfAnEngineThatPausesIsLoadedElsewhere(t *testing.T) {
 	const pause = 40 * time.Second
 	o := defaults()
--- a/e2e/badinput_test.go
+++ b/e2e/badinput_test.go
@@ -10,8 +10,9 @@
 	"testing"
 )
 
-// A caller that writes its whole request before it reads gets the refusal of a
-// body that is far too large.
+// A caller that writes its whole request before it reads must get the refusal of
+// a body that is far too large. A daemon that closed the connection while the
+// body arrives would break it before the caller reads the answer.
 func TestBadInputTooLargeBodyIsAnswered(t *testing.T) {
 	w := newWorld(t, defaults())
 	conn, err := net.Dial("tcp", w.daemons[0].callers)
@@ -34,7 +35,7 @@
 	}
 }
 
-// zeros is an endless body.
+// zeros is an endless reader of zero bytes.
 type zeros struct{}
 
 // Read implements io.Reader.
@@ -43,7 +44,7 @@
 	return len(p), nil
 }
 
-// A call that names two models reaches no engine.
+// A request with two values for the model must be refused and reach no engine.
 func TestBadInputModelNamedTwice(t *testing.T) {
 	w := newWorld(t, defaults())
 	r := w.daemons[0].call("POST", "/v1/completions", `{"model":"m0","prompt":"p","max_tokens":2,"model":"m1"}`)
--- a/e2e/budget_test.go
+++ b/e2e/budget_test.go
@@ -6,22 +6,22 @@
 	"time"
 )
 
-// Bounds on messages and platform calls. They are counts, not times: each
-// covers what is done a second or a request, with room for a slow machine
-// doing less.
+// Bounds on the calls to the platform. They are upper bounds on counts a second
+// or a rollout, so that a slow machine, which makes fewer calls, meets them too.
 const (
 	maxPlatformCallsAtRest = 6.0 // a second, three daemons, two groups: renewals, reads of candidates, watches, the host list
 	maxPlatformWritesRest  = 2.0 // a second: renewals of one lease, at the test's term of 2 s
 	maxWritesPerRollout    = 4   // bundle, review, sign-off, pointer
 )
 
+// calls returns the number of platform calls so far.
 func (w *world) calls() int {
 	c := w.platform.Counts()
 	return c.Reads + c.Writes + c.Watches + c.Hosts
 }
 
-// A request for a loaded model makes no platform call, and daemons at rest
-// make few; a rollout writes four objects, whatever the number of daemons.
+// Requests for a loaded model must make no platform calls, idle daemons few, and
+// a rollout must write four objects, independent of the number of daemons.
 func TestBudgetPlatformCalls(t *testing.T) {
 	w := newWorld(t, defaults())
 	if _, r := w.daemons[0].complete("m0", "warm", 1); !r.ok() {
--- a/e2e/config_test.go
+++ b/e2e/config_test.go
@@ -16,6 +16,7 @@
 	"github.com/doorvalve/doorvalve/state/bundle"
 )
 
+// pointer returns the configuration pointer as a daemon reports it.
 func (w *world) pointer(p *proc) rollout.Pointer {
 	w.t.Helper()
 	var pt rollout.Pointer
@@ -25,16 +26,16 @@
 	return pt
 }
 
-// withNote returns a bundle that differs from b.
+// withNote returns a copy of b that differs from it in the worth n of a class.
 func withNote(b bundle.Bundle, n int) bundle.Bundle {
 	b.Classes = append([]bundle.Class(nil), b.Classes...)
 	b.Classes[1].Worth = int64(n)
 	return b
 }
 
-// Operators race at all daemons with the same expected generation: one wins,
-// the others get a conflict that names the winner, and one generation is in
-// force everywhere.
+// Operators roll out different bundles at all daemons at once, with the same
+// expected generation. Exactly one rollout must succeed, the others must get a
+// conflict, and all daemons must run the bundle of the one that succeeded.
 func TestConfigRacingOperators(t *testing.T) {
 	w := newWorld(t, defaults())
 	digests := make([]string, 6)
@@ -67,12 +68,13 @@
 	p := w.pointer(w.daemons[0])
 	for _, d := range w.daemons {
 		if dump, err := d.dump(); err != nil || dump.Generation != 2 || dump.Digest != p.Digest {
-			t.Errorf("%s runs %d %s, accepted is 2 %s", d.name, dump.Generation, rollout.Short(dump.Digest), rollout.Short(p.Digest))
+			t.Errorf("%s runs generation %d %s, accepted is 2 %s", d.name, dump.Generation, rollout.Short(dump.Digest), rollout.Short(p.Digest))
 		}
 	}
 }
 
-// The answer to the pointer's write is lost: the rollout is still settled.
+// The answer to the write of the pointer is lost. The daemon must find out that
+// the write took effect and report the rollout as done.
 func TestConfigAnswerLost(t *testing.T) {
 	w := newWorld(t, defaults())
 	digest := w.daemons[0].propose(withNote(w.bundle, 20))
@@ -83,7 +85,8 @@
 	w.inForce(2)
 }
 
-// An author cannot sign his own bundle off, and nothing unsigned rolls out.
+// The author of a bundle must not be able to sign it off, and a bundle that is not
+// signed off must not be rolled out.
 func TestConfigSignOff(t *testing.T) {
 	w := newWorld(t, defaults())
 	p := w.daemons[0]
@@ -103,9 +106,10 @@
 	}
 }
 
-// A daemon starts while the platform is away, and another wakes that slept
-// through two rollouts: both come to the newest generation from their peers,
-// and nobody ever goes back.
+// During an outage of the platform one daemon starts, and another resumes that was
+// frozen during two rollouts. Both must get the newest generation from their
+// peers, and no daemon may return to an older one, even if the platform repeats
+// an old event afterwards.
 func TestConfigStartAndWakeInOutage(t *testing.T) {
 	o := defaults()
 	w := newWorld(t, o)
@@ -117,7 +121,7 @@
 			t.Fatalf("status %d: %v", status, err)
 		}
 	}
-	w.eventually("in force on the awake", func() bool {
+	w.eventually("in force on the daemons that are not frozen", func() bool {
 		for _, p := range w.daemons[:2] {
 			if d, err := p.dump(); err != nil || d.Generation != 3 {
 				return false
@@ -132,7 +136,7 @@
 	text, r := w.daemons[3].complete("m0", "x", 2)
 	t.Logf("the daemon that started in the outage answers %d %v %q", r.status, r.refusal.Reason, text)
 	w.platform.Faults.Set(fault.Settings{})
-	// An old event is replayed: the pointer of generation 1 again.
+	// The platform repeats an old event: the pointer to generation 1.
 	w.platform.Replay("config", "current")
 	time.Sleep(300 * time.Millisecond)
 	for _, p := range w.daemons {
@@ -142,12 +146,12 @@
 	}
 }
 
-// An endpoint leaves: by its own word while the host list lags, by the host
-// list, and by an operator. It gets no new work after a few seconds, and the
-// streams in progress there are finished.
+// An endpoint leaves: it announces that itself while the host list lags, the host
+// list says so, or an operator drains it. It must get no new calls after a few
+// seconds, and no caller may be refused meanwhile.
 func TestLeavingEndpointGetsNoNewWork(t *testing.T) {
 	ways := map[string]func(*world, int){
-		"own word":  func(w *world, i int) { w.services[fmt.Sprintf("app%d", i)].SetLeaving(true) },
+		"announced": func(w *world, i int) { w.services[fmt.Sprintf("app%d", i)].SetLeaving(true) },
 		"host list": func(w *world, i int) { w.leaveInHostList(fmt.Sprintf("app%d", i)) },
 		"operator": func(w *world, i int) {
 			if _, err := w.daemons[1].operate("anna", "POST", fmt.Sprintf("/v1/endpoints/app%d/drain", i), nil, nil); err != nil {
@@ -200,7 +204,7 @@
 	w.platform.SetHosts(list)
 }
 
-// A drained engine finishes its streams; its models move to another engine.
+// A drained engine must finish its streams, and its models must move to another engine.
 func TestLeavingEngineFinishesStreams(t *testing.T) {
 	o := defaults()
 	o.tokenTime = 20 * time.Millisecond
--- a/e2e/crashing_test.go
+++ b/e2e/crashing_test.go
@@ -11,9 +11,10 @@
 	"github.com/doorvalve/doorvalve/state/bundle"
 )
 
-// Endpoints ended one after the other under one request, which daemons passed on to the
-// next one and whose caller came again, at another daemon. They keep their names and are
-// back after a while, so that nothing but the time tells their lives apart.
+// Guards against a call that crashes every endpoint that executes it: daemons retried it at the
+// next endpoint, and its caller sent it again to other daemons, until all endpoints were down. The
+// endpoints here keep their names and restart after a while, so that only the time distinguishes
+// their incarnations.
 func TestCallThatEndsEndpointsIsHeldBack(t *testing.T) {
 	o := defaults()
 	o.engines, o.models, o.plain = 0, 0, 5
@@ -33,7 +34,7 @@
 		return w.daemons[sent%len(w.daemons)].call("POST", "/services/app/x", body)
 	}
 	w.eventually("calls are served", func() bool { return send("innocent").ok() })
-	w.eventually("three endpoints have ended", func() bool {
+	w.eventually("three endpoints have crashed", func() bool {
 		if endsOf(endpoints) < 3 {
 			send(crashingBody)
 		}
@@ -46,26 +47,28 @@
 		time.Sleep(100 * time.Millisecond)
 	}
 	if again := endsOf(endpoints) - before; again > endsAllowed {
-		t.Errorf("three endpoints had ended under the call, and %d more did", again)
+		t.Errorf("three endpoints had crashed under the call, and then %d more", again)
 	}
 	r := send(crashingBody)
 	if r.status != http.StatusServiceUnavailable || r.refusal.Reason != "held-back" || r.header.Get("Retry-After") == "" {
 		t.Errorf("the call got %d %q, Retry-After %q", r.status, r.refusal.Reason, r.header.Get("Retry-After"))
 	}
-	w.eventually("others are served", func() bool { return send("innocent").ok() })
+	w.eventually("other calls are served", func() bool { return send("innocent").ok() })
 }
 
 const (
-	crashingBody = "a call that ends each endpoint which begins it"
-	// knownWithin is how long after the third end all daemons may take to know.
+	crashingBody = "a call that crashes each endpoint that executes it"
+	// knownWithin is the longest time until all daemons know of the third crash.
 	knownWithin = 3 * time.Second
-	// endsAllowed is how often the call may reach endpoints after that.
+	// endsAllowed is the largest number of crashes after that.
 	endsAllowed = 3
-	// downFor is longer than the time in which ends of one name count once.
+	// downFor is the downtime after a crash. It is longer than the time within which crashes of
+	// endpoints with the same name count once.
 	downFor = 2500 * time.Millisecond
 )
 
-// crashing is a plain endpoint that a call ends; it listens again after a while.
+// crashing is a plain endpoint that crashes under calls with the crashingBody. It
+// listens again after downFor.
 type crashing struct {
 	t       *testing.T
 	address string
@@ -101,7 +104,7 @@
 
 // ServeHTTP implements http.Handler.
 func (c *crashing) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	body, _ := io.ReadAll(r.Body) // a body that is cut is not the one that counts
+	body, _ := io.ReadAll(r.Body) // a truncated body differs from crashingBody and is served
 	if string(body) != crashingBody {
 		_, _ = io.WriteString(w, "served")
 		return
@@ -122,13 +125,13 @@
 	}
 	l, err := net.Listen("tcp", c.address)
 	if err != nil {
-		c.t.Logf("%s stays away: %v", c.address, err)
+		c.t.Logf("%s did not restart: %v", c.address, err)
 		return
 	}
 	c.serve(l)
 }
 
-// endsOf returns how often the endpoints have ended.
+// endsOf returns the number of crashes of all endpoints.
 func endsOf(list []*crashing) int {
 	n := 0
 	for _, c := range list {
--- a/e2e/harness_test.go
+++ b/e2e/harness_test.go
@@ -1,5 +1,5 @@
-// Package e2e_test runs real daemons against the stand-ins and causes the
-// failures that each promise has to survive.
+// Package e2e_test runs real daemons against the stand-ins, injects failures and
+// checks that the guarantees to callers and operators hold.
 package e2e_test
 
 import (
@@ -33,8 +33,8 @@
 	"github.com/doorvalve/doorvalve/transport/operators"
 )
 
-// patience bounds waiting for something that must happen; it is no verdict on
-// how fast it happens.
+// patience is the longest time that tests wait for an event that must occur. It
+// is generous on purpose: it is no requirement on how soon the event occurs.
 const patience = 60 * time.Second
 
 var binary string
@@ -59,7 +59,7 @@
 	os.Exit(code)
 }
 
-// world is the systems around the daemons, and the daemons.
+// world holds the daemons of a test and the stand-ins for the systems around them.
 type world struct {
 	t        *testing.T
 	platform *standin.Platform
@@ -72,7 +72,7 @@
 	client   *http.Client
 }
 
-// options are what tests change of a world.
+// options configure a world; defaults returns the usual ones.
 type options struct {
 	daemons     int
 	engines     int
@@ -107,7 +107,8 @@
 	reserveMiB = 4000
 )
 
-// newWorld starts the stand-ins and the daemons and rolls a bundle out.
+// newWorld starts the stand-ins and the daemons, rolls out a bundle, unless
+// o.noRollout is set, and waits until all daemons run it.
 func newWorld(t *testing.T, o options) *world {
 	t.Helper()
 	w := &world{
@@ -148,7 +149,8 @@
 	return w
 }
 
-// serve runs a stand-in; faults are lifted before it closes.
+// serve runs a stand-in and returns its URL. At the end of the test its faults
+// are removed before the server closes, since closing waits for frozen calls.
 func (w *world) serve(h http.Handler, f *fault.Injector) string {
 	s := httptest.NewServer(h)
 	w.t.Cleanup(func() {
@@ -231,7 +233,8 @@
 	return p
 }
 
-// startedAgain tells the next process that it is not the first of its host.
+// startedAgain sets first_start to false in the settings, as the next process is
+// not the first one of its host.
 func (p *proc) startedAgain() {
 	text, err := os.ReadFile(p.settings)
 	if err == nil {
@@ -249,7 +252,7 @@
 	p.log = &syncbuf.Buffer{}
 	p.exited = make(chan struct{})
 	p.cmd = exec.Command(binary, "--settings", p.settings)
-	p.cmd.Stdout, p.cmd.Stderr = p.log, p.log // lines on the first, data races on the second
+	p.cmd.Stdout, p.cmd.Stderr = p.log, p.log // log lines come on stdout, reports of data races on stderr
 	if err := p.cmd.Start(); err != nil {
 		p.w.t.Fatal(err)
 	}
@@ -294,7 +297,7 @@
 	}
 }
 
-// eventually waits for something that must come.
+// eventually waits until f returns true, and fails the test after patience.
 func (w *world) eventually(what string, f func() bool) {
 	w.t.Helper()
 	for deadline := time.Now().Add(patience); time.Now().Before(deadline); {
@@ -306,7 +309,9 @@
 	w.t.Fatalf("did not happen: %s", what)
 }
 
-// operate calls an operators' listener.
+// operate sends a request to the daemon's operators' listener and decodes the
+// answer into v, unless v is nil. An answer with status 300 or above is returned
+// as an error with the body.
 func (p *proc) operate(token, method, path string, body []byte, v any) (int, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
@@ -352,7 +357,8 @@
 	return p.operate("anna", "POST", "/v1/rollout", body, nil)
 }
 
-// rollout brings a bundle into force through the first living daemon.
+// rollout proposes a bundle, has it signed off and rolls it out through the first
+// running daemon.
 func (w *world) rollout(b bundle.Bundle) {
 	w.t.Helper()
 	p := w.living()[0]
@@ -368,6 +374,7 @@
 	}
 }
 
+// living returns the daemons whose processes run.
 func (w *world) living() []*proc {
 	var list []*proc
 	for _, p := range w.daemons {
@@ -384,7 +391,7 @@
 	return d, err
 }
 
-// inForce waits until every living daemon runs at least the generation.
+// inForce waits until every running daemon has at least the generation.
 func (w *world) inForce(generation uint64) {
 	w.t.Helper()
 	w.eventually(fmt.Sprintf("generation %d in force", generation), func() bool {
@@ -397,7 +404,8 @@
 	})
 }
 
-// holder returns the daemon that holds the engines' placement lease.
+// holder waits for a daemon that holds the placement lease of the engines' group
+// and returns it.
 func (w *world) holder() *proc {
 	w.t.Helper()
 	var found *proc
@@ -416,7 +424,7 @@
 	return found
 }
 
-// reply is a caller's view of an answer.
+// reply is an answer as a caller gets it. The refusal is set if the answer is one.
 type reply struct {
 	status  int
 	body    string
@@ -427,7 +435,8 @@
 
 func (r reply) ok() bool { return r.err == nil && r.status == http.StatusOK }
 
-// call sends a caller's request.
+// call sends a request to the daemon's listener for callers. Headers are pairs
+// of a name and a value.
 func (p *proc) call(method, path, body string, headers ...string) reply {
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
@@ -451,7 +460,7 @@
 	return r
 }
 
-// complete asks a model and returns the answer's text.
+// complete sends a request for a completion and returns the text of the answer.
 func (p *proc) complete(model, prompt string, tokens int, headers ...string) (string, reply) {
 	body := fmt.Sprintf(`{"model":%q,"prompt":%q,"max_tokens":%d}`, model, prompt, tokens)
 	r := p.call("POST", "/v1/completions", body, headers...)
@@ -469,8 +478,8 @@
 	return a.Choices[0].Text, r
 }
 
-// stream asks a model for a stream and returns its text; whole says that the
-// end mark came.
+// stream sends a request for a streamed completion and returns the text of the
+// stream; whole is true if the stream's end marker was received.
 func (p *proc) stream(model, prompt string, tokens int) (text string, whole bool, r reply) {
 	body := fmt.Sprintf(`{"model":%q,"prompt":%q,"max_tokens":%d,"stream":true}`, model, prompt, tokens)
 	r = p.call("POST", "/v1/completions", body)
@@ -495,7 +504,7 @@
 	return text, whole, r
 }
 
-// replicas counts a unit's replicas at the engines.
+// replicas returns the number of engines that hold a unit.
 func (w *world) replicas(unit string) int {
 	n := 0
 	for _, e := range w.engines {
@@ -508,7 +517,8 @@
 	return n
 }
 
-// checkMemory fails the test if any engine was ever overcommitted.
+// checkMemory fails the test if any engine was ever overcommitted, or if its units
+// ever took memory that is reserved for KV caches.
 func (w *world) checkMemory() {
 	w.t.Helper()
 	for name, e := range w.engines {
--- a/e2e/limits_test.go
+++ b/e2e/limits_test.go
@@ -10,13 +10,13 @@
 	"github.com/doorvalve/doorvalve/state/bundle"
 )
 
-// An endpoint said in its answers how many requests a second it takes from all daemons together,
-// and got as many as before: on this interface, too, nobody read the word, and no daemon alone
-// could have kept to it.
+// An endpoint reports in its answers a limit of requests a second for all daemons together. Guards
+// against daemons that ignore the report, and against daemons that each keep to the limit on their
+// own, so that together they exceed it.
 func TestEndpointThatNamesALimitIsPaced(t *testing.T) {
 	const (
 		says   = "2"
-		most   = 17 // one and a half times as many in 4 s, and 5
+		most   = 17 // within the window: one and a half times the limit, and 5 more
 		window = 4 * time.Second
 		known  = 3 * time.Second
 	)
@@ -47,18 +47,19 @@
 	before := len(services[0].Arrivals())
 	w.press(5 * time.Second)
 	if n := len(services[0].Arrivals()) - before; n < 60 {
-		t.Errorf("%d requests in the 5 s after the limit had ended", n)
+		t.Errorf("%d requests in the 5 s after the limit was lifted, want at least 60", n)
 	}
 	services[0].SetRateLimit("0")
 	services[1].SetRateLimit("0")
 	w.press(known)
 	r := w.daemons[0].call("POST", "/services/app/x", "too many")
 	if r.status != http.StatusServiceUnavailable || r.refusal.Reason != "endpoints-limited" || r.header.Get("Retry-After") == "" {
-		t.Errorf("with no room anywhere a call got %d %q, Retry-After %q", r.status, r.refusal.Reason, r.header.Get("Retry-After"))
+		t.Errorf("with all endpoints at their limit a call got %d %q, Retry-After %q", r.status, r.refusal.Reason, r.header.Get("Retry-After"))
 	}
 }
 
-// press sends calls to the daemons in turn for a while and returns how many were served.
+// press sends a call every 20 ms to the daemons in turn for the time d, and returns
+// how many were served and how many were sent.
 func (w *world) press(d time.Duration) (served, all int) {
 	const every = 20 * time.Millisecond
 	var mu sync.Mutex
--- a/e2e/log_test.go
+++ b/e2e/log_test.go
@@ -11,7 +11,7 @@
 	"github.com/doorvalve/doorvalve/standin/fault"
 )
 
-// line is a line of a daemon's log.
+// line is a line of a daemon's log, with the fields that tests look at.
 type line struct {
 	Message  string `json:"@message"`
 	Level    string `json:"@level"`
@@ -21,7 +21,7 @@
 	Endpoint string `json:"endpoint"`
 }
 
-// lines returns the lines of a daemon's log so far.
+// lines returns the complete lines of a daemon's log so far.
 func (p *proc) lines() []line {
 	var all []line
 	for text := range strings.Lines(p.log.String()) {
@@ -37,7 +37,7 @@
 	return all
 }
 
-// logged waits for a line of any daemon about a request.
+// logged waits until any daemon has logged an event for a request, and returns the line.
 func (w *world) logged(event, request string) line {
 	var found line
 	w.eventually(event+" of "+request+" is logged", func() bool {
@@ -54,8 +54,9 @@
 	return found
 }
 
-// Each final answer has a line with the caller's view of it, and each line of
-// the log is explained to operators.
+// Each final answer must be logged with the reason and the verdict that the caller
+// got, and every event that is logged above debug level must be described in
+// docs/OPERATIONS.md.
 func TestLogTellsOfEachRequest(t *testing.T) {
 	page, err := os.ReadFile("../docs/OPERATIONS.md")
 	if err != nil {
@@ -90,7 +91,7 @@
 	for _, p := range w.daemons {
 		for _, l := range p.lines() {
 			if l.Level != "debug" && !strings.Contains(string(page), "`"+l.Message+"`") {
-				t.Errorf("docs/OPERATIONS.md does not explain %q", l.Message)
+				t.Errorf("docs/OPERATIONS.md does not describe the event %q", l.Message)
 			}
 		}
 	}
--- a/e2e/modes_test.go
+++ b/e2e/modes_test.go
@@ -10,16 +10,16 @@
 	"github.com/doorvalve/doorvalve/state/bundle"
 )
 
-// withMode returns a bundle whose engine service is in a mode.
+// withMode returns a copy of b with the engines' service in mode m.
 func withMode(b bundle.Bundle, m bundle.Mode) bundle.Bundle {
 	b.Services = append([]bundle.Service(nil), b.Services...)
 	b.Services[0].Mode = m
 	return b
 }
 
-// A service moves from scripts to watched to managed, and back: nothing is
-// ordered before it is managed nor afterwards, and what the scripts have loaded
-// is adopted.
+// A service moves from mode scripts to watched to managed, and back to scripts.
+// Daemons must send no orders while it is not managed, and must adopt units that
+// scripts have loaded.
 func TestModesMoveOverAndBack(t *testing.T) {
 	o := defaults()
 	o.change = func(b *bundle.Bundle) { b.Services[0].Mode = bundle.ModeScripts }
@@ -36,7 +36,7 @@
 	}
 	w.rollout(withMode(w.bundle, bundle.ModeWatched))
 	w.inForce(2)
-	w.eventually("what scripts loaded is served", func() bool {
+	w.eventually("a unit loaded by scripts is served", func() bool {
 		text, r := w.daemons[1].complete("m0", "x", 2)
 		return r.ok() && text == engine.Answer("x", 2)
 	})
@@ -48,7 +48,7 @@
 	}
 	w.rollout(withMode(w.bundle, bundle.ModeManaged))
 	w.inForce(3)
-	w.eventually("managed", func() bool {
+	w.eventually("a model is loaded and served in mode managed", func() bool {
 		text, r := w.daemons[2].complete("m1", "x", 2)
 		return r.ok() && text == engine.Answer("x", 2)
 	})
--- a/e2e/orders_test.go
+++ b/e2e/orders_test.go
@@ -11,12 +11,14 @@
 	"github.com/doorvalve/doorvalve/standin/fault"
 )
 
+// order sends a non-repeatable call with an idempotency key.
 func (p *proc) order(key string) reply {
 	return p.call("POST", "/services/app/orders", `{"order":1}`, "Idempotency-Key", key)
 }
 
-// checkVerdicts holds the replies to one key's calls against the services'
-// own counts: a key answered "ok" ran once, one answered only "not run" never.
+// checkVerdicts compares the replies to the calls with each key with the services'
+// own counts. No key may have run more than once, a key with a successful reply
+// must have run once, and a key with only "not run" replies must not have run.
 func (w *world) checkVerdicts(replies map[string][]reply) {
 	w.t.Helper()
 	runs := map[string]int{}
@@ -35,14 +37,15 @@
 		case n > 1:
 			w.t.Errorf("order %s ran %d times", key, n)
 		case ok && n != 1:
-			w.t.Errorf("order %s was answered and ran %d times", key, n)
+			w.t.Errorf("order %s got a successful answer and ran %d times", key, n)
 		case !ok && !unsure && n != 0:
-			w.t.Errorf("order %s was always \"not run\" and ran", key)
+			w.t.Errorf("order %s got only \"not run\" answers and ran", key)
 		}
 	}
 }
 
-// The same keys arrive at all daemons at once.
+// Calls with the same keys arrive at all daemons at once. Each key must run once,
+// and exactly one of its calls must get the answer.
 func TestOrdersSameKeyEverywhere(t *testing.T) {
 	w := newWorld(t, defaults())
 	var mu sync.Mutex
@@ -74,9 +77,9 @@
 	w.checkVerdicts(replies)
 }
 
-// Daemons are killed before, while and after they dispatch; callers try again
-// elsewhere with the same key until they have an answer; in the end all
-// daemons have been replaced.
+// Daemons are killed and replaced, one after the other, before, while and after
+// they dispatch orders. Callers retry at other daemons with the same key until
+// they get an answer. No order may run twice, and each must reach a final answer.
 func TestOrdersDaemonsKilledAndReplaced(t *testing.T) {
 	o := defaults()
 	o.work = 20 * time.Millisecond
@@ -102,7 +105,7 @@
 					if r.ok() || r.status == http.StatusConflict {
 						break
 					}
-					// A takeover takes a lease's term, and a refusal says so.
+					// A takeover takes the term of a lease; refusals meanwhile have that as their retry-after.
 					time.Sleep(max(50*time.Millisecond, r.refusal.RetryAfter))
 				}
 			}
@@ -131,7 +134,9 @@
 	}
 }
 
-// The platform is slow, loses answers of writes that took effect, and is away.
+// The platform is slow, frozen, unavailable, or loses the answers to writes that
+// took effect. Verdicts must stay true, and during an outage orders must be
+// refused as "not run" with Retry-After.
 func TestOrdersPlatformFaults(t *testing.T) {
 	w := newWorld(t, defaults())
 	if r := w.daemons[0].order("warm"); !r.ok() {
@@ -166,11 +171,11 @@
 		key := fmt.Sprintf("away-%d", k)
 		for _, r := range replies[key] {
 			if r.status != http.StatusServiceUnavailable || r.refusal.Verdict != protocol.NotRun || r.header.Get("Retry-After") == "" {
-				t.Errorf("platform away: %d %v, Retry-After %q", r.status, r.refusal, r.header.Get("Retry-After"))
+				t.Errorf("platform unavailable: %d %v, Retry-After %q", r.status, r.refusal, r.header.Get("Retry-After"))
 			}
 		}
 	}
-	for key, list := range replies { // what was "not run" can be sent again
+	for key, list := range replies { // orders refused as "not run" can be sent again
 		if last := list[len(list)-1]; !last.ok() && last.refusal.Verdict == protocol.NotRun {
 			replies[key] = append(replies[key], w.daemons[2].order(key))
 		}
@@ -178,11 +183,12 @@
 	w.checkVerdicts(replies)
 }
 
-// A service closes the connection after it ran an order: the order is not sent
-// a second time, and the verdict is not "not run".
+// A service closes the connection after it ran an order. The order must not be
+// sent a second time, also if the connection had been idle, and the verdict must
+// be that it may have run.
 func TestOrdersAnswerOfServiceLost(t *testing.T) {
 	w := newWorld(t, defaults())
-	for range 4 { // leave idle connections behind
+	for range 4 { // opens connections that are idle when the orders come
 		for _, p := range w.daemons {
 			if r := p.call("GET", "/services/app/x", ""); !r.ok() {
 				t.Fatalf("warm-up: %d %v", r.status, r.refusal)
@@ -205,8 +211,8 @@
 	w.checkRanAtMostOnce(map[string]bool{"k0": true, "k1": true, "k2": true, "k3": true, "k4": true})
 }
 
-// A service's own error is its answer and passes through: the order counts as
-// run.
+// An error status of the service itself is its answer: it must be passed on to the
+// caller as it is, not replaced by a refusal.
 func TestOrdersServiceErrorPassesThrough(t *testing.T) {
 	o := defaults()
 	o.plain = 1
--- a/e2e/overload_test.go
+++ b/e2e/overload_test.go
@@ -16,16 +16,16 @@
 	"github.com/doorvalve/doorvalve/state/bundle"
 )
 
-// timed is a reply with the part of its time that it took.
+// timed is a reply with the time that it took.
 type timed struct {
 	reply
 	text string
 	took time.Duration
 }
 
-// Twice the capacity, at all daemons, by callers of different worth: each
-// request gets exactly one final answer before its deadline; a refusal comes
-// long before it, with the time to come back; the worthier are served more.
+// Callers of two classes send more than the capacity to all daemons. Each request
+// must get exactly one final answer, refusals must have a Retry-After, and requests
+// of the class with the higher worth must be served more often.
 func TestOverloadServedOrRefusedInOrderOfWorth(t *testing.T) {
 	const timeout = 6 * time.Second
 	o := defaults()
@@ -34,7 +34,7 @@
 	if _, r := w.daemons[0].complete("m0", "warm", 2); !r.ok() {
 		t.Fatalf("warm-up: %d %v", r.status, r.refusal)
 	}
-	const each = 90 // of each class; a request takes 200 ms, so about 120 fit into the time
+	const each = 90 // requests of each class; one takes 200 ms, so about 120 fit into the time-out
 	var mu sync.Mutex
 	byClass := map[string][]timed{}
 	var wg sync.WaitGroup
@@ -66,7 +66,7 @@
 			case r.err != nil:
 				t.Errorf("%s: dropped: %v", class, r.err)
 			case r.refusal.Verdict == protocol.NotRun && (r.header.Get("Retry-After") == "" || r.refusal.RetryAfter <= 0):
-				t.Errorf("%s: refused without the time to come back: %v", class, r.refusal)
+				t.Errorf("%s: refused without Retry-After: %v", class, r.refusal)
 			}
 		}
 	}
@@ -76,8 +76,8 @@
 	}
 }
 
-// A cold start that cannot be over before the deadline is refused at once, not
-// near the deadline. The bound is a part of the request's own deadline.
+// A request whose model cannot be loaded before its deadline must be refused at
+// once, not near the deadline. The bound is half of the request's time-out.
 func TestOverloadColdStartRefusedAtOnce(t *testing.T) {
 	o := defaults()
 	o.loadTime = 5 * time.Second
@@ -90,13 +90,13 @@
 			t.Errorf("%s: status %d, %v after %s of 4 s", p.name, r.status, r.refusal, took)
 		}
 		if r.refusal.RetryAfter <= 0 {
-			t.Errorf("%s: no time to come back: %v", p.name, r.refusal)
+			t.Errorf("%s: refused without Retry-After: %v", p.name, r.refusal)
 		}
 	}
 }
 
-// More models than memory: they are loaded one after the other, memory is
-// never overcommitted, and every request is served or refused.
+// There are more models than fit into memory. They must be loaded in turn without
+// ever overcommitting an engine, and every request must be served or refused.
 func TestMemoryPressure(t *testing.T) {
 	o := defaults()
 	o.models, o.adapters = 12, 3
@@ -136,8 +136,8 @@
 	w.checkMemory()
 }
 
-// All daemons are killed and new ones start: they find what is loaded, adopt
-// it and load nothing twice.
+// All daemons are killed and new ones start. They must adopt the units that are
+// loaded and load none of them a second time.
 func TestMemoryRestartAdopts(t *testing.T) {
 	o := defaults()
 	w := newWorld(t, o)
@@ -146,7 +146,7 @@
 			t.Fatalf("m%d: %d %v", i, r.status, r.refusal)
 		}
 	}
-	// A script has loaded a unit that nobody declared; its memory counts.
+	// A script has loaded a unit that the bundle does not declare; its memory counts.
 	w.engines["w0"].Preload(protocol.EngineUnit{Unit: "stranger", Version: "1", MemoryMiB: 1000})
 	for _, p := range w.daemons {
 		p.kill()
@@ -173,7 +173,8 @@
 	w.checkMemory()
 }
 
-// Writes of the placement take effect and their answers are lost.
+// Writes of the placement take effect, but their answers are lost. Requests must be
+// served, with one replica of their model.
 func TestReplicasAnswersLost(t *testing.T) {
 	o := defaults()
 	w := newWorld(t, o)
@@ -193,11 +194,12 @@
 	w.checkMemory()
 }
 
-// outrankedHolder brings about that a daemon ranks before the lease's holder, as
-// after a start, and returns the holder. Ids are random, and the first by rank
-// takes a lease that is free: another daemon is started, and if it ranks lower
-// than the holder, the holder is killed, so that the next one takes over before
-// the next start. What is left ranks lower each time, so few rounds are enough.
+// outrankedHolder starts daemons until one ranks before the holder of the
+// placement lease, as happens after a start, and returns the holder. Ids and so
+// ranks are random, and a free lease is taken by the daemon that ranks first.
+// If the new daemon ranks lower than the holder, the holder is killed, and the
+// next by rank takes over before another daemon starts. Each further holder
+// ranks lower, so few rounds are enough.
 func (w *world) outrankedHolder(o options) *proc {
 	w.t.Helper()
 	for n := range 12 {
@@ -217,7 +219,8 @@
 	return nil
 }
 
-// knows reports whether a daemon's view has just these daemons alive.
+// knows reports whether as many daemons are alive in the daemon's membership view
+// as in the list.
 func (p *proc) knows(living []*proc) bool {
 	d, err := p.dump()
 	alive := 0
@@ -229,9 +232,11 @@
 	return err == nil && alive == len(living)
 }
 
-// The platform is away for longer than the lease: what is loaded is served on;
-// what would need a recorded decision is refused at once; where endpoints check
-// fencing numbers, a recorded replica that its endpoint lost is loaded again.
+// The platform is unavailable for longer than the term of the lease. Loaded models
+// must still be served. Requests that need a new placement decision must be
+// refused at once, since decisions can't be recorded. Where endpoints check
+// fencing numbers, a recorded replica that its endpoint has lost must be loaded
+// again.
 func TestOutageServesFromLastState(t *testing.T) {
 	o := defaults()
 	w := newWorld(t, o)
@@ -240,8 +245,8 @@
 	}
 	holder := w.outrankedHolder(o)
 	w.inForce(1)
-	// One that has just taken over, and never heard where m0 is, cannot wake it.
-	w.eventually("the holder knows m0", func() bool {
+	// A holder that has just taken over, without a report of where m0 is, could not load it again.
+	w.eventually("the holder has m0 as ready", func() bool {
 		d, err := holder.dump()
 		return err == nil && slices.ContainsFunc(d.Groups, func(g placer.View) bool {
 			return g.Held && slices.ContainsFunc(g.Ready, func(r string) bool { return strings.HasPrefix(r, "m0@") })
@@ -268,7 +273,7 @@
 			t.Logf("%s has lost m0", name)
 		}
 	}
-	w.eventually("m0 is woken in the outage", func() bool {
+	w.eventually("m0 is loaded again in the outage", func() bool {
 		text, r := living[1].complete("m0", "woken", 3)
 		return r.ok() && text == engine.Answer("woken", 3)
 	})
--- a/e2e/path_test.go
+++ b/e2e/path_test.go
@@ -9,8 +9,8 @@
 	"github.com/doorvalve/doorvalve/standin/engine"
 )
 
-// A burst for an idle model at all daemons at once is one load, and each
-// caller gets its own answer.
+// A burst of requests for an unloaded model at all daemons must cause exactly one
+// load, and each caller must get its own answer.
 func TestPathColdBurst(t *testing.T) {
 	w := newWorld(t, defaults())
 	check := w.watchReplicas("m0", 1)
@@ -66,8 +66,8 @@
 	w.checkRanAtMostOnce(map[string]bool{"k1": true})
 }
 
-// checkRanAtMostOnce looks at the services' own counts; keys with true must
-// have run.
+// checkRanAtMostOnce checks by the services' own counts that no key ran more than
+// once, and that the keys with true in keys ran.
 func (w *world) checkRanAtMostOnce(keys map[string]bool) {
 	w.t.Helper()
 	runs := map[string]int{}
--- a/e2e/replicas_test.go
+++ b/e2e/replicas_test.go
@@ -8,8 +8,8 @@
 	"github.com/doorvalve/doorvalve/standin/engine"
 )
 
-// The holder is killed while a load is running: the next holder adopts the
-// load, and no second replica appears at any engine.
+// The holder of the placement lease is killed during a load. The next holder must
+// adopt the load, and no engine may get a second replica.
 func TestReplicasHolderKilledMidLoad(t *testing.T) {
 	o := defaults()
 	o.loadTime = 3 * time.Second
@@ -41,8 +41,9 @@
 	w.checkMemory()
 }
 
-// The holder is frozen past its lease, with orders about to be sent, and woken
-// after another has taken over.
+// The holder of the placement lease is frozen, with orders about to be sent, until
+// another daemon has taken over, and then resumes. Its outdated orders must not
+// cause a second replica, even if engines ignore fencing numbers.
 func TestReplicasHolderFrozenPastLease(t *testing.T) {
 	for name, fencing := range map[string]bool{"checking": true, "ignoring": false} {
 		t.Run(name, func(t *testing.T) {
@@ -62,7 +63,7 @@
 			for _, m := range []string{"m0", "m1", "m2"} {
 				wg.Go(func() { other.complete(m, "x", 4) })
 			}
-			time.Sleep(3 * time.Millisecond) // somewhere between demand, record and order
+			time.Sleep(3 * time.Millisecond) // between the report of demand, the recorded decision and the order
 			holder.freeze()
 			w.eventually("served after the takeover", func() bool {
 				text, r := other.complete("m0", "y", 4)
@@ -70,7 +71,7 @@
 			})
 			holder.unfreeze()
 			wg.Wait()
-			w.eventually("served by the woken daemon", func() bool {
+			w.eventually("served by the resumed daemon", func() bool {
 				text, r := holder.complete("m1", "z", 4)
 				return r.ok() && text == engine.Answer("z", 4)
 			})
--- a/e2e/restore_test.go
+++ b/e2e/restore_test.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// Guards against what operators have rolled out and drained going back, claims that are forgotten and
-// rollouts that nobody adopts, where the platform comes back from a copy of before.
+// The platform is restored from a backup that is older than a rollout, a drain and an order. Guards
+// against daemons that then return to the older generation, use the drained endpoint, run the order
+// a second time, or don't adopt later rollouts.
 func TestPlatformComesBackFromACopy(t *testing.T) {
 	w := newWorld(t, defaults())
 	a := w.daemons[0]
@@ -63,6 +64,6 @@
 		t.Errorf("the order ran %d times", runs)
 	}
 	if !w.says("state written again after a restore") {
-		t.Error("no line tells what was written again")
+		t.Error("no daemon logged the state that it wrote again")
 	}
 }
--- a/e2e/stop_test.go
+++ b/e2e/stop_test.go
@@ -10,12 +10,12 @@
 	"github.com/doorvalve/doorvalve/standin/engine"
 )
 
-// streamTokens makes a stream longer than a daemon takes to close its
-// listeners, so that only the graceful shutdown keeps it whole.
+// streamTokens is the length of a stream. A stream takes longer than a daemon
+// takes to close its listeners, so that only the graceful shutdown completes it.
 const streamTokens = 900
 
-// All daemons are replaced one after the other under traffic, with streams in
-// progress and callers that hold older address answers for their whole life.
+// All daemons are replaced one after the other during traffic. No stream in progress
+// may be cut off, also for callers that use a list of addresses until its TTL ends.
 func TestStopRollingRestartCutsNothing(t *testing.T) {
 	o := defaults()
 	o.tokenTime = 5 * time.Millisecond
@@ -40,7 +40,7 @@
 			for n := 0; !stop.Load(); n++ {
 				a, err := w.addressesOf(ask)
 				if err != nil || len(a.Addresses) == 0 {
-					mu.Lock() // this daemon is gone: ask another
+					mu.Lock() // this daemon has stopped: use another
 					ask = procs[(c+n)%len(procs)]
 					mu.Unlock()
 					time.Sleep(10 * time.Millisecond)
@@ -49,7 +49,7 @@
 				until := time.Now().Add(time.Duration(a.TTLMs) * time.Millisecond)
 				for time.Now().Before(until) && !stop.Load() {
 					mu.Lock()
-					p := byAddress[a.Addresses[c%len(a.Addresses)].Address] // each daemon has callers
+					p := byAddress[a.Addresses[c%len(a.Addresses)].Address] // spreads the callers over all daemons
 					mu.Unlock()
 					prompt := fmt.Sprintf("caller %d call %d", c, n)
 					text, whole, r := p.stream("m0", prompt, streamTokens)
--- a/e2e/workspaces_test.go
+++ b/e2e/workspaces_test.go
@@ -8,9 +8,9 @@
 	"github.com/doorvalve/doorvalve/state/bundle"
 )
 
-// Workspaces with keys and a quota on the own interface: two keys stand for one workspace, an
-// unknown one is refused, a workspace that sends many times its quota to three daemons gets
-// about that, and callers beside it do not notice.
+// Workspaces with keys and a quota at the daemons' own interface for callers: both keys of a
+// workspace must be accepted and an unknown key refused; a workspace that sends many times its quota
+// to three daemons must get about its quota; other workspaces must not be affected.
 func TestWorkspacesOnTheOwnInterface(t *testing.T) {
 	o := defaults()
 	o.change = func(b *bundle.Bundle) {
@@ -40,14 +40,14 @@
 		case http.StatusTooManyRequests:
 			refused++
 			if after, err := strconv.ParseFloat(r.header.Get("Retry-After"), 64); err != nil || after <= 0 {
-				t.Fatalf("no time to come back: %q", r.header.Get("Retry-After"))
+				t.Fatalf("refused without a valid Retry-After: %q", r.header.Get("Retry-After"))
 			}
 		default:
 			t.Fatalf("request %d: %d %s", i, r.status, r.body)
 		}
 		if i%10 == 0 {
 			if r := get(i%3, "new-key"); !r.ok() {
-				t.Fatalf("the workspace beside it: %d %s", r.status, r.body)
+				t.Fatalf("a request of the other workspace: %d %s", r.status, r.body)
 			}
 		}
 	}
