--- a/e2e/answers_test.go
+++ b/e2e/answers_test.go
@@ -14,7 +14,7 @@
 )
 
 // runs returns how often each request id ran, summed over the engines.
-func (w *world) runs() map[string]int {
+func (w *testbed) runs() map[string]int {
 	total := map[string]int{}
 	for _, e := range w.engines {
 		for id, n := range e.Stats().Runs {
@@ -27,7 +27,7 @@
 // Engines close the connection of every stream after a few tokens. The daemons
 // must resume the streams, and each caller must get its own answer byte for byte.
 func TestAnswersCutStreamsResumed(t *testing.T) {
-	w := newWorld(t, defaults())
+	w := newTestbed(t, defaults())
 	if _, _, r := w.daemons[0].stream("m0", "warm", 2); !r.ok() {
 		t.Fatalf("warm-up: %d %v", r.status, r.refusal)
 	}
@@ -50,7 +50,7 @@
 // Engines answer with the id of another attempt. Such an answer may belong to
 // another request, so no part of it may reach a caller.
 func TestAnswersCrossedNeverDelivered(t *testing.T) {
-	w := newWorld(t, defaults())
+	w := newTestbed(t, defaults())
 	if _, r := w.daemons[0].complete("m0", "warm", 2); !r.ok() {
 		t.Fatalf("warm-up: %d %v", r.status, r.refusal)
 	}
@@ -78,28 +78,28 @@
 // "not run" must not have run at any engine, by the engines' own counts; callers
 // rely on that when they send it again.
 func TestAnswersNotRunIsTrue(t *testing.T) {
-	steps := map[string]func(*world){
-		"endpoint fails":               func(w *world) { w.eachEngine(fault.Settings{Fail: true, Path: "/v1/"}) },
-		"answer lost":                  func(w *world) { w.eachEngine(fault.Settings{LoseAnswers: -1, Path: "/v1/"}) },
-		"endpoint frozen":              func(w *world) { w.eachEngine(fault.Settings{Freeze: true, Path: "/v1/"}) },
-		"endpoint frozen on all paths": func(w *world) { w.eachEngine(fault.Settings{Freeze: true}) },
-		"orders fail":                  func(w *world) { w.eachEngine(fault.Settings{Fail: true, Path: "/orders"}) },
-		"platform unavailable":         func(w *world) { w.platform.Faults.Set(fault.Settings{Fail: true}) },
-		"endpoint leaves":              func(w *world) { w.eachEngineLeaving() },
-		"coordinator is killed":        func(w *world) { w.holder().kill() },
-		"coordinator is frozen": func(w *world) {
+	steps := map[string]func(*testbed){
+		"endpoint fails":               func(w *testbed) { w.eachEngine(fault.Settings{Fail: true, Path: "/v1/"}) },
+		"answer lost":                  func(w *testbed) { w.eachEngine(fault.Settings{LoseAnswers: -1, Path: "/v1/"}) },
+		"endpoint frozen":              func(w *testbed) { w.eachEngine(fault.Settings{Freeze: true, Path: "/v1/"}) },
+		"endpoint frozen on all paths": func(w *testbed) { w.eachEngine(fault.Settings{Freeze: true}) },
+		"orders fail":                  func(w *testbed) { w.eachEngine(fault.Settings{Fail: true, Path: "/orders"}) },
+		"platform unavailable":         func(w *testbed) { w.platform.Faults.Set(fault.Settings{Fail: true}) },
+		"endpoint leaves":              func(w *testbed) { w.eachEngineLeaving() },
+		"coordinator is killed":        func(w *testbed) { w.holder().kill() },
+		"coordinator is frozen": func(w *testbed) {
 			holder := w.holder()
 			holder.freeze()
 			time.AfterFunc(3*time.Second, holder.unfreeze)
 		},
-		"no fault, slow run": func(w *world) { w.eachEngine(fault.Settings{DelayMs: 300, Path: "/v1/"}) },
+		"no fault, slow run": func(w *testbed) { w.eachEngine(fault.Settings{DelayMs: 300, Path: "/v1/"}) },
 	}
-	for name, cause := range steps {
+	for name, inject := range steps {
 		t.Run(name, func(t *testing.T) {
 			o := defaults()
 			o.slots = 2
 			o.tokenTime = 10 * time.Millisecond
-			w := newWorld(t, o)
+			w := newTestbed(t, o)
 			if _, r := w.daemons[0].complete("m0", "warm", 2); !r.ok() {
 				t.Fatalf("warm-up: %d %v", r.status, r.refusal)
 			}
@@ -107,7 +107,7 @@
 			var mu sync.Mutex
 			var replies []reply
 			var wg sync.WaitGroup
-			ask := func(n int) {
+			sendRequests := func(n int) {
 				for i := range n {
 					wg.Go(func() {
 						_, r := w.daemons[i%3].complete(fmt.Sprintf("m%d", i%3), fmt.Sprint(i), 5, protocol.HeaderTimeout, "1500")
@@ -117,10 +117,10 @@
 					})
 				}
 			}
-			ask(6)
+			sendRequests(6)
 			time.Sleep(20 * time.Millisecond)
-			cause(w)
-			ask(12)
+			inject(w)
+			sendRequests(12)
 			wg.Wait()
 			w.eachEngine(fault.Settings{})
 			time.Sleep(50 * time.Millisecond) // calls that were frozen run now
@@ -141,13 +141,13 @@
 	}
 }
 
-func (w *world) eachEngine(f fault.Settings) {
+func (w *testbed) eachEngine(f fault.Settings) {
 	for _, e := range w.engines {
 		e.Faults.Set(f)
 	}
 }
 
-func (w *world) eachEngineLeaving() {
+func (w *testbed) eachEngineLeaving() {
 	for _, e := range w.engines {
 		e.SetLeaving(true)
 	}
@@ -155,7 +155,7 @@
 
 // Invalid requests must get a 4xx status with the reason and the verdict "not run".
 func TestAnswersBadInput(t *testing.T) {
-	w := newWorld(t, defaults())
+	w := newTestbed(t, defaults())
 	p := w.daemons[0]
 	cases := []struct {
 		name, method, path, body string
--- a/e2e/backpressure_test.go
+++ b/e2e/backpressure_test.go
@@ -13,17 +13,17 @@
 
 // twoServices starts daemons with two endpoints of a plain service and no engines,
 // and waits until they serve calls.
-func twoServices(t *testing.T) (w *world, one, other *service.Service) {
+func twoServices(t *testing.T) (w *testbed, one, other *service.Service) {
 	o := defaults()
 	o.engines, o.models, o.plain = 0, 0, 2
 	o.change = func(b *bundle.Bundle) { b.Services = b.Services[1:] } // without the engines
-	w = newWorld(t, o)
+	w = newTestbed(t, o)
 	w.eventually("calls are served", func() bool { return w.daemons[0].call("POST", "/services/app/x", "first").ok() })
 	return w, w.services["app0"], w.services["app1"]
 }
 
-// cameBetween returns the number of calls that arrived at a service between two times.
-func cameBetween(s *service.Service, from, to time.Time) int {
+// arrivalsBetween returns the number of calls that arrived at a service between two times.
+func arrivalsBetween(s *service.Service, from, to time.Time) int {
 	n := 0
 	for _, at := range s.Arrivals() {
 		if at.After(from) && at.Before(to) {
@@ -39,9 +39,9 @@
 	const pause = 3 * time.Second
 	w, one, other := twoServices(t)
 	one.SetPause("3")
-	asked := time.Now()
-	served, all := w.press(pause)
-	if most, n := 2*len(w.daemons), cameBetween(one, asked.Add(500*time.Millisecond), asked.Add(pause)); n > most {
+	askedAt := time.Now()
+	served, all := w.sendCalls(pause)
+	if allowed, n := 2*len(w.daemons), arrivalsBetween(one, askedAt.Add(500*time.Millisecond), askedAt.Add(pause)); n > allowed {
 		t.Errorf("%d calls from %d daemons during the pause", n, len(w.daemons))
 	}
 	if served < all*99/100 {
@@ -49,15 +49,15 @@
 	}
 	other.SetPause("20")
 	one.SetPause("20")
-	w.press(time.Second)
+	w.sendCalls(time.Second)
 	began := time.Now()
 	r := w.daemons[0].call("POST", "/services/app/x", "too many")
 	after, err := strconv.ParseFloat(r.header.Get("Retry-After"), 64)
 	if r.status != http.StatusServiceUnavailable || r.refusal.Reason != "endpoint-paused" || err != nil || after < 15 {
 		t.Errorf("with all endpoints pausing a call got %d %q, Retry-After %q", r.status, r.refusal.Reason, r.header.Get("Retry-After"))
 	}
-	if held := time.Since(began); held > time.Second {
-		t.Errorf("refused only after %v", held)
+	if took := time.Since(began); took > time.Second {
+		t.Errorf("refused only after %v", took)
 	}
 }
 
@@ -67,9 +67,9 @@
 	const within = 2 * time.Second
 	w, one, _ := twoServices(t)
 	one.SetLeaving(true)
-	said := time.Now()
-	served, all := w.press(2 * within)
-	if n := cameBetween(one, said.Add(within), time.Now()); n > 0 {
+	announcedAt := time.Now()
+	served, all := w.sendCalls(2 * within)
+	if n := arrivalsBetween(one, announcedAt.Add(within), time.Now()); n > 0 {
 		t.Errorf("%d calls later than %v after its first announcement", n, within)
 	}
 	if served < all*99/100 {
@@ -78,8 +78,8 @@
 	one.SetLeaving(false) // stands for a new process at the same address
 	w.eventually("the endpoint is used again", func() bool {
 		from := time.Now()
-		w.press(500 * time.Millisecond)
-		return cameBetween(one, from, time.Now()) > 0
+		w.sendCalls(500 * time.Millisecond)
+		return arrivalsBetween(one, from, time.Now()) > 0
 	})
 }
 
@@ -89,7 +89,7 @@
 	const pause = 40 * time.Second
 	o := defaults()
 	o.change = func(b *bundle.Bundle) { b.Models[0].MaxReplicas = 2 }
-	w := newWorld(t, o)
+	w := newTestbed(t, o)
 	w.eventually("the model is served", func() bool { _, r := w.daemons[0].complete("m0", "first", 4); return r.ok() })
 	for _, e := range w.engines {
 		for _, u := range e.Units() {
@@ -98,12 +98,12 @@
 			}
 		}
 	}
-	asked := time.Now()
+	askedAt := time.Now()
 	w.eventually("another engine serves it", func() bool {
 		text, r := w.daemons[0].complete("m0", "next", 4)
 		return r.ok() && text == engine.Answer("next", 4)
 	})
-	if took := time.Since(asked); took > pause/2 {
+	if took := time.Since(askedAt); took > pause/2 {
 		t.Errorf("served again after %v", took)
 	}
 	if n := w.replicas("m0"); n != 2 {
--- a/e2e/badinput_test.go
+++ b/e2e/badinput_test.go
@@ -14,7 +14,7 @@
 // a body that is far too large. A daemon that closed the connection while the
 // body arrives would break it before the caller reads the answer.
 func TestBadInputTooLargeBodyIsAnswered(t *testing.T) {
-	w := newWorld(t, defaults())
+	w := newTestbed(t, defaults())
 	conn, err := net.Dial("tcp", w.daemons[0].callers)
 	if err != nil {
 		t.Fatal(err)
@@ -46,7 +46,7 @@
 
 // A request with two values for the model must be refused and reach no engine.
 func TestBadInputModelNamedTwice(t *testing.T) {
-	w := newWorld(t, defaults())
+	w := newTestbed(t, defaults())
 	r := w.daemons[0].call("POST", "/v1/completions", `{"model":"m0","prompt":"p","max_tokens":2,"model":"m1"}`)
 	if r.status != http.StatusBadRequest {
 		t.Fatalf("status %d %s", r.status, r.body)
--- a/e2e/budget_test.go
+++ b/e2e/budget_test.go
@@ -14,8 +14,8 @@
 	maxWritesPerRollout    = 4   // bundle, review, sign-off, pointer
 )
 
-// calls returns the number of platform calls so far.
-func (w *world) calls() int {
+// platformCalls returns the number of platform calls so far.
+func (w *testbed) platformCalls() int {
 	c := w.platform.Counts()
 	return c.Reads + c.Writes + c.Watches + c.Hosts
 }
@@ -23,20 +23,20 @@
 // Requests for a loaded model must make no platform calls, idle daemons few, and
 // a rollout must write four objects, independent of the number of daemons.
 func TestBudgetPlatformCalls(t *testing.T) {
-	w := newWorld(t, defaults())
+	w := newTestbed(t, defaults())
 	if _, r := w.daemons[0].complete("m0", "warm", 1); !r.ok() {
 		t.Fatalf("warm-up: %d %v", r.status, r.refusal)
 	}
 	const seconds = 5
-	before, writes := w.calls(), w.platform.Counts().Writes
+	before, writes := w.platformCalls(), w.platform.Counts().Writes
 	time.Sleep(seconds * time.Second)
-	rest := float64(w.calls()-before) / seconds
+	rest := float64(w.platformCalls()-before) / seconds
 	restWrites := float64(w.platform.Counts().Writes-writes) / seconds
 	t.Logf("at rest: %.1f platform calls and %.1f writes a second", rest, restWrites)
 	if rest > maxPlatformCallsAtRest || restWrites > maxPlatformWritesRest {
 		t.Errorf("at rest: %.1f platform calls a second, %.1f writes", rest, restWrites)
 	}
-	before, start := w.calls(), time.Now()
+	before, start := w.platformCalls(), time.Now()
 	const requests = 300
 	for i := range requests {
 		if _, r := w.daemons[i%3].complete("m0", fmt.Sprint(i), 1); !r.ok() {
@@ -44,11 +44,11 @@
 		}
 	}
 	allowed := maxPlatformCallsAtRest*(time.Since(start).Seconds()+1) + requests/100
-	if made := w.calls() - before; float64(made) > allowed {
+	if made := w.platformCalls() - before; float64(made) > allowed {
 		t.Errorf("%d platform calls during %d requests, at most %.0f allowed", made, requests, allowed)
 	}
 	counts := w.platform.Counts().ByKind
-	w.rollout(withNote(w.bundle, 21))
+	w.rollout(withWorth(w.bundle, 21))
 	w.inForce(2)
 	after := w.platform.Counts().ByKind
 	made := 0
--- a/e2e/config_test.go
+++ b/e2e/config_test.go
@@ -17,17 +17,17 @@
 )
 
 // pointer returns the configuration pointer as a daemon reports it.
-func (w *world) pointer(p *proc) rollout.Pointer {
+func (w *testbed) pointer(p *proc) rollout.Pointer {
 	w.t.Helper()
 	var pt rollout.Pointer
-	if _, err := p.operate("anna", "GET", "/v1/history", nil, &pt); err != nil {
+	if _, err := p.callOperators("anna", "GET", "/v1/history", nil, &pt); err != nil {
 		w.t.Fatal(err)
 	}
 	return pt
 }
 
-// withNote returns a copy of b that differs from it in the worth n of a class.
-func withNote(b bundle.Bundle, n int) bundle.Bundle {
+// withWorth returns a copy of b that differs from it in the worth n of a class.
+func withWorth(b bundle.Bundle, n int) bundle.Bundle {
 	b.Classes = append([]bundle.Class(nil), b.Classes...)
 	b.Classes[1].Worth = int64(n)
 	return b
@@ -37,10 +37,10 @@
 // expected generation. Exactly one rollout must succeed, the others must get a
 // conflict, and all daemons must run the bundle of the one that succeeded.
 func TestConfigRacingOperators(t *testing.T) {
-	w := newWorld(t, defaults())
+	w := newTestbed(t, defaults())
 	digests := make([]string, 6)
 	for i := range digests {
-		digests[i] = w.daemons[i%3].propose(withNote(w.bundle, 20+i))
+		digests[i] = w.daemons[i%3].propose(withWorth(w.bundle, 20+i))
 	}
 	var mu sync.Mutex
 	won, lost := 0, 0
@@ -76,8 +76,8 @@
 // The answer to the write of the pointer is lost. The daemon must find out that
 // the write took effect and report the rollout as done.
 func TestConfigAnswerLost(t *testing.T) {
-	w := newWorld(t, defaults())
-	digest := w.daemons[0].propose(withNote(w.bundle, 20))
+	w := newTestbed(t, defaults())
+	digest := w.daemons[0].propose(withWorth(w.bundle, 20))
 	w.platform.Faults.Set(fault.Settings{LoseAnswers: 1, Path: "/objects/config/", Method: "PUT"})
 	if status, err := w.daemons[0].advance(digest, 1); status != http.StatusOK {
 		t.Errorf("status %d: %v", status, err)
@@ -88,20 +88,20 @@
 // The author of a bundle must not be able to sign it off, and a bundle that is not
 // signed off must not be rolled out.
 func TestConfigSignOff(t *testing.T) {
-	w := newWorld(t, defaults())
+	w := newTestbed(t, defaults())
 	p := w.daemons[0]
-	content, _ := json.Marshal(withNote(w.bundle, 20))
+	content, _ := json.Marshal(withWorth(w.bundle, 20))
 	digest := bundle.Digest(content)
-	if _, err := p.operate("anna", "POST", "/v1/bundles", content, nil); err != nil {
+	if _, err := p.callOperators("anna", "POST", "/v1/bundles", content, nil); err != nil {
 		t.Fatal(err)
 	}
-	if status, _ := p.operate("anna", "POST", "/v1/bundles/"+digest+"/signoff", nil, nil); status != http.StatusForbidden {
+	if status, _ := p.callOperators("anna", "POST", "/v1/bundles/"+digest+"/signoff", nil, nil); status != http.StatusForbidden {
 		t.Errorf("own sign-off: status %d", status)
 	}
 	if status, _ := p.advance(digest, 1); status != http.StatusForbidden {
 		t.Errorf("unsigned rollout: status %d", status)
 	}
-	if status, _ := p.operate("eve", "GET", "/v1/status", nil, nil); status != http.StatusUnauthorized {
+	if status, _ := p.callOperators("eve", "GET", "/v1/status", nil, nil); status != http.StatusUnauthorized {
 		t.Errorf("unknown operator: status %d", status)
 	}
 }
@@ -112,11 +112,11 @@
 // an old event afterwards.
 func TestConfigStartAndWakeInOutage(t *testing.T) {
 	o := defaults()
-	w := newWorld(t, o)
-	sleeper := w.daemons[2]
-	sleeper.freeze()
+	w := newTestbed(t, o)
+	frozen := w.daemons[2]
+	frozen.freeze()
 	for g := range 2 {
-		digest := w.daemons[0].propose(withNote(w.bundle, 30+g))
+		digest := w.daemons[0].propose(withWorth(w.bundle, 30+g))
 		if status, err := w.daemons[0].advance(digest, uint64(g+1)); status != http.StatusOK {
 			t.Fatalf("status %d: %v", status, err)
 		}
@@ -130,7 +130,7 @@
 		return true
 	})
 	w.platform.Faults.Set(fault.Settings{Fail: true, Path: "/objects"}) // the host list still answers
-	sleeper.unfreeze()
+	frozen.unfreeze()
 	w.startDaemon("late", "hall-b", o)
 	w.inForce(3)
 	text, r := w.daemons[3].complete("m0", "x", 2)
@@ -146,15 +146,15 @@
 	}
 }
 
-// An endpoint leaves: it announces that itself while the host list lags, the host
-// list says so, or an operator drains it. It must get no new calls after a few
+// An endpoint leaves: it announces that in its answers while the host list lags, the
+// host list marks it as leaving, or an operator drains it. It must get no new calls after a few
 // seconds, and no caller may be refused meanwhile.
 func TestLeavingEndpointGetsNoNewWork(t *testing.T) {
-	ways := map[string]func(*world, int){
-		"announced": func(w *world, i int) { w.services[fmt.Sprintf("app%d", i)].SetLeaving(true) },
-		"host list": func(w *world, i int) { w.leaveInHostList(fmt.Sprintf("app%d", i)) },
-		"operator": func(w *world, i int) {
-			if _, err := w.daemons[1].operate("anna", "POST", fmt.Sprintf("/v1/endpoints/app%d/drain", i), nil, nil); err != nil {
+	ways := map[string]func(*testbed, int){
+		"announced": func(w *testbed, i int) { w.services[fmt.Sprintf("app%d", i)].SetLeaving(true) },
+		"host list": func(w *testbed, i int) { w.leaveInHostList(fmt.Sprintf("app%d", i)) },
+		"operator": func(w *testbed, i int) {
+			if _, err := w.daemons[1].callOperators("anna", "POST", fmt.Sprintf("/v1/endpoints/app%d/drain", i), nil, nil); err != nil {
 				w.t.Error(err)
 			}
 		},
@@ -163,7 +163,7 @@
 		t.Run(name, func(t *testing.T) {
 			o := defaults()
 			o.hostLag = time.Second
-			w := newWorld(t, o)
+			w := newTestbed(t, o)
 			var wg sync.WaitGroup
 			done := make(chan struct{})
 			for i := range 6 {
@@ -196,7 +196,7 @@
 	}
 }
 
-func (w *world) leaveInHostList(name string) {
+func (w *testbed) leaveInHostList(name string) {
 	list := append([]standin.Host(nil), w.hosts...)
 	for i := range list {
 		list[i].Leaving = list[i].Leaving || list[i].Name == name
@@ -208,7 +208,7 @@
 func TestLeavingEngineFinishesStreams(t *testing.T) {
 	o := defaults()
 	o.tokenTime = 20 * time.Millisecond
-	w := newWorld(t, o)
+	w := newTestbed(t, o)
 	if _, r := w.daemons[0].complete("m0", "warm", 1); !r.ok() {
 		t.Fatalf("warm-up: %d %v", r.status, r.refusal)
 	}
@@ -230,7 +230,7 @@
 		})
 	}
 	time.Sleep(200 * time.Millisecond)
-	if _, err := w.daemons[0].operate("anna", "POST", "/v1/endpoints/"+from+"/drain", nil, nil); err != nil {
+	if _, err := w.daemons[0].callOperators("anna", "POST", "/v1/endpoints/"+from+"/drain", nil, nil); err != nil {
 		t.Fatal(err)
 	}
 	wg.Wait()
--- a/e2e/crashing_test.go
+++ b/e2e/crashing_test.go
@@ -18,16 +18,16 @@
 func TestCallThatEndsEndpointsIsHeldBack(t *testing.T) {
 	o := defaults()
 	o.engines, o.models, o.plain = 0, 0, 5
-	var endpoints []*crashing
+	var endpoints []*crashingEndpoint
 	o.change = func(b *bundle.Bundle) {
 		b.Services = b.Services[1:] // without the engines
 		for i := range b.Services[0].Endpoints {
-			c := newCrashing(t)
+			c := newCrashingEndpoint(t)
 			endpoints = append(endpoints, c)
 			b.Services[0].Endpoints[i].Address = c.address
 		}
 	}
-	w := newWorld(t, o)
+	w := newTestbed(t, o)
 	sent := 0
 	send := func(body string) reply {
 		sent++
@@ -35,19 +35,19 @@
 	}
 	w.eventually("calls are served", func() bool { return send("innocent").ok() })
 	w.eventually("three endpoints have crashed", func() bool {
-		if endsOf(endpoints) < 3 {
+		if totalCrashes(endpoints) < 3 {
 			send(crashingBody)
 		}
-		return endsOf(endpoints) >= 3
+		return totalCrashes(endpoints) >= 3
 	})
-	time.Sleep(knownWithin)
-	before := endsOf(endpoints)
+	time.Sleep(propagationTime)
+	before := totalCrashes(endpoints)
 	for range 20 {
 		send(crashingBody)
 		time.Sleep(100 * time.Millisecond)
 	}
-	if again := endsOf(endpoints) - before; again > endsAllowed {
-		t.Errorf("three endpoints had crashed under the call, and then %d more", again)
+	if further := totalCrashes(endpoints) - before; further > maxFurtherCrashes {
+		t.Errorf("three endpoints had crashed under the call, and then %d more", further)
 	}
 	r := send(crashingBody)
 	if r.status != http.StatusServiceUnavailable || r.refusal.Reason != "held-back" || r.header.Get("Retry-After") == "" {
@@ -58,43 +58,43 @@
 
 const (
 	crashingBody = "a call that crashes each endpoint that executes it"
-	// knownWithin is the longest time until all daemons know of the third crash.
-	knownWithin = 3 * time.Second
-	// endsAllowed is the largest number of crashes after that.
-	endsAllowed = 3
-	// downFor is the downtime after a crash. It is longer than the time within which crashes of
+	// propagationTime is the longest time until all daemons know of the third crash.
+	propagationTime = 3 * time.Second
+	// maxFurtherCrashes is the largest number of crashes after that.
+	maxFurtherCrashes = 3
+	// downtime is the downtime after a crash. It is longer than the time within which crashes of
 	// endpoints with the same name count once.
-	downFor = 2500 * time.Millisecond
+	downtime = 2500 * time.Millisecond
 )
 
-// crashing is a plain endpoint that crashes under calls with the crashingBody. It
-// listens again after downFor.
-type crashing struct {
+// crashingEndpoint is a plain endpoint that crashes under calls with the crashingBody. It
+// listens again after downtime.
+type crashingEndpoint struct {
 	t       *testing.T
 	address string
 	mu      sync.Mutex
 	server  *http.Server
-	ends    int
-	over    bool
+	crashes int
+	closed  bool
 }
 
-func newCrashing(t *testing.T) *crashing {
+func newCrashingEndpoint(t *testing.T) *crashingEndpoint {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := &crashing{t: t, address: l.Addr().String()}
+	c := &crashingEndpoint{t: t, address: l.Addr().String()}
 	c.serve(l)
 	t.Cleanup(func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		c.over = true
+		c.closed = true
 		_ = c.server.Close()
 	})
 	return c
 }
 
-func (c *crashing) serve(l net.Listener) {
+func (c *crashingEndpoint) serve(l net.Listener) {
 	server := &http.Server{Handler: c}
 	c.mu.Lock()
 	c.server = server
@@ -103,24 +103,24 @@
 }
 
 // ServeHTTP implements http.Handler.
-func (c *crashing) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (c *crashingEndpoint) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body) // a truncated body differs from crashingBody and is served
 	if string(body) != crashingBody {
 		_, _ = io.WriteString(w, "served")
 		return
 	}
 	c.mu.Lock()
-	c.ends++
+	c.crashes++
 	_ = c.server.Close()
 	c.mu.Unlock()
-	time.AfterFunc(downFor, c.again)
+	time.AfterFunc(downtime, c.restart)
 }
 
-func (c *crashing) again() {
+func (c *crashingEndpoint) restart() {
 	c.mu.Lock()
-	over := c.over
+	closed := c.closed
 	c.mu.Unlock()
-	if over {
+	if closed {
 		return
 	}
 	l, err := net.Listen("tcp", c.address)
@@ -131,12 +131,12 @@
 	c.serve(l)
 }
 
-// endsOf returns the number of crashes of all endpoints.
-func endsOf(list []*crashing) int {
+// totalCrashes returns the number of crashes of all endpoints.
+func totalCrashes(list []*crashingEndpoint) int {
 	n := 0
 	for _, c := range list {
 		c.mu.Lock()
-		n += c.ends
+		n += c.crashes
 		c.mu.Unlock()
 	}
 	return n
--- a/e2e/harness_test.go
+++ b/e2e/harness_test.go
@@ -33,9 +33,9 @@
 	"github.com/doorvalve/doorvalve/transport/operators"
 )
 
-// patience is the longest time that tests wait for an event that must occur. It
+// eventTimeout is the longest time that tests wait for an event that must occur. It
 // is generous on purpose: it is no requirement on how soon the event occurs.
-const patience = 60 * time.Second
+const eventTimeout = 60 * time.Second
 
 var binary string
 
@@ -59,8 +59,8 @@
 	os.Exit(code)
 }
 
-// world holds the daemons of a test and the stand-ins for the systems around them.
-type world struct {
+// testbed holds the daemons of a test and the stand-ins for the systems around them.
+type testbed struct {
 	t        *testing.T
 	platform *standin.Platform
 	engines  map[string]*engine.Engine
@@ -72,7 +72,7 @@
 	client   *http.Client
 }
 
-// options configure a world; defaults returns the usual ones.
+// options configure a testbed; defaults returns the usual ones.
 type options struct {
 	daemons     int
 	engines     int
@@ -107,11 +107,11 @@
 	reserveMiB = 4000
 )
 
-// newWorld starts the stand-ins and the daemons, rolls out a bundle, unless
+// newTestbed starts the stand-ins and the daemons, rolls out a bundle, unless
 // o.noRollout is set, and waits until all daemons run it.
-func newWorld(t *testing.T, o options) *world {
+func newTestbed(t *testing.T, o options) *testbed {
 	t.Helper()
-	w := &world{
+	w := &testbed{
 		t: t, platform: standin.New(standin.Options{HostLag: o.hostLag}), engines: map[string]*engine.Engine{},
 		services: map[string]*service.Service{}, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}},
 	}
@@ -151,7 +151,7 @@
 
 // serve runs a stand-in and returns its URL. At the end of the test its faults
 // are removed before the server closes, since closing waits for frozen calls.
-func (w *world) serve(h http.Handler, f *fault.Injector) string {
+func (w *testbed) serve(h http.Handler, f *fault.Injector) string {
 	s := httptest.NewServer(h)
 	w.t.Cleanup(func() {
 		f.Set(fault.Settings{})
@@ -161,7 +161,7 @@
 	return s.URL
 }
 
-func (w *world) addEngines(o options) {
+func (w *testbed) addEngines(o options) {
 	svc := bundle.Service{Name: "lm", Kind: bundle.KindEngine, Mode: bundle.ModeManaged}
 	for i := range o.engines {
 		name := fmt.Sprintf("w%d", i)
@@ -177,7 +177,7 @@
 	w.bundle.Services = append(w.bundle.Services, svc)
 }
 
-func (w *world) addServices(o options) {
+func (w *testbed) addServices(o options) {
 	svc := bundle.Service{Name: "app", Kind: bundle.KindPlain, Mode: bundle.ModeManaged, NonRepeatable: []bundle.Route{{Method: "POST", Path: "/orders"}}}
 	for i := range o.plain {
 		name := fmt.Sprintf("app%d", i)
@@ -193,7 +193,7 @@
 
 // proc is one daemon process.
 type proc struct {
-	w                        *world
+	w                        *testbed
 	name                     string
 	cmd                      *exec.Cmd
 	callers, peers, operator string
@@ -211,7 +211,7 @@
 	return address
 }
 
-func (w *world) startDaemon(name, domain string, o options) *proc {
+func (w *testbed) startDaemon(name, domain string, o options) *proc {
 	w.t.Helper()
 	p := &proc{w: w, name: name, callers: freeAddress(w.t), peers: freeAddress(w.t), operator: freeAddress(w.t)}
 	p.settings = filepath.Join(w.t.TempDir(), name+".hujson")
@@ -233,9 +233,9 @@
 	return p
 }
 
-// startedAgain sets first_start to false in the settings, as the next process is
+// markRestarted sets first_start to false in the settings, as the next process is
 // not the first one of its host.
-func (p *proc) startedAgain() {
+func (p *proc) markRestarted() {
 	text, err := os.ReadFile(p.settings)
 	if err == nil {
 		err = os.WriteFile(p.settings, bytes.Replace(text, []byte(`"first_start": true`), []byte(`"first_start": false`), 1), 0o600)
@@ -247,7 +247,7 @@
 
 func (p *proc) start() {
 	if p.log != nil {
-		p.startedAgain()
+		p.markRestarted()
 	}
 	p.log = &syncbuf.Buffer{}
 	p.exited = make(chan struct{})
@@ -297,10 +297,10 @@
 	}
 }
 
-// eventually waits until f returns true, and fails the test after patience.
-func (w *world) eventually(what string, f func() bool) {
+// eventually waits until f returns true, and fails the test after eventTimeout.
+func (w *testbed) eventually(what string, f func() bool) {
 	w.t.Helper()
-	for deadline := time.Now().Add(patience); time.Now().Before(deadline); {
+	for deadline := time.Now().Add(eventTimeout); time.Now().Before(deadline); {
 		if f() {
 			return
 		}
@@ -309,10 +309,10 @@
 	w.t.Fatalf("did not happen: %s", what)
 }
 
-// operate sends a request to the daemon's operators' listener and decodes the
+// callOperators sends a request to the daemon's operators' listener and decodes the
 // answer into v, unless v is nil. An answer with status 300 or above is returned
 // as an error with the body.
-func (p *proc) operate(token, method, path string, body []byte, v any) (int, error) {
+func (p *proc) callOperators(token, method, path string, body []byte, v any) (int, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+p.operator+path, bytes.NewReader(body))
@@ -343,10 +343,10 @@
 	p.w.t.Helper()
 	content, _ := json.Marshal(b)
 	var proposed operators.ProposeResponse
-	if _, err := p.operate("anna", "POST", "/v1/bundles", content, &proposed); err != nil {
+	if _, err := p.callOperators("anna", "POST", "/v1/bundles", content, &proposed); err != nil {
 		p.w.t.Fatal(err)
 	}
-	if _, err := p.operate("bo", "POST", "/v1/bundles/"+proposed.Digest+"/signoff", nil, nil); err != nil {
+	if _, err := p.callOperators("bo", "POST", "/v1/bundles/"+proposed.Digest+"/signoff", nil, nil); err != nil {
 		p.w.t.Fatal(err)
 	}
 	return proposed.Digest
@@ -354,19 +354,19 @@
 
 func (p *proc) advance(digest string, expected uint64) (int, error) {
 	body, _ := json.Marshal(operators.RolloutRequest{Digest: digest, Expected: expected})
-	return p.operate("anna", "POST", "/v1/rollout", body, nil)
+	return p.callOperators("anna", "POST", "/v1/rollout", body, nil)
 }
 
 // rollout proposes a bundle, has it signed off and rolls it out through the first
 // running daemon.
-func (w *world) rollout(b bundle.Bundle) {
+func (w *testbed) rollout(b bundle.Bundle) {
 	w.t.Helper()
-	p := w.living()[0]
+	p := w.runningDaemons()[0]
 	digest := p.propose(b)
 	var now struct {
 		Generation uint64 `json:"generation"`
 	}
-	if _, err := p.operate("anna", "GET", "/v1/history", nil, &now); err != nil {
+	if _, err := p.callOperators("anna", "GET", "/v1/history", nil, &now); err != nil {
 		w.t.Fatal(err)
 	}
 	if _, err := p.advance(digest, now.Generation); err != nil {
@@ -374,8 +374,8 @@
 	}
 }
 
-// living returns the daemons whose processes run.
-func (w *world) living() []*proc {
+// runningDaemons returns the daemons whose processes run.
+func (w *testbed) runningDaemons() []*proc {
 	var list []*proc
 	for _, p := range w.daemons {
 		if p.alive() {
@@ -387,15 +387,15 @@
 
 func (p *proc) dump() (daemon.Dump, error) {
 	var d daemon.Dump
-	_, err := p.operate("anna", "GET", "/debug/state", nil, &d)
+	_, err := p.callOperators("anna", "GET", "/debug/state", nil, &d)
 	return d, err
 }
 
 // inForce waits until every running daemon has at least the generation.
-func (w *world) inForce(generation uint64) {
+func (w *testbed) inForce(generation uint64) {
 	w.t.Helper()
 	w.eventually(fmt.Sprintf("generation %d in force", generation), func() bool {
-		for _, p := range w.living() {
+		for _, p := range w.runningDaemons() {
 			if d, err := p.dump(); err != nil || d.Generation < generation {
 				return false
 			}
@@ -406,11 +406,11 @@
 
 // holder waits for a daemon that holds the placement lease of the engines' group
 // and returns it.
-func (w *world) holder() *proc {
+func (w *testbed) holder() *proc {
 	w.t.Helper()
 	var found *proc
 	w.eventually("a placement holder", func() bool {
-		for _, p := range w.living() {
+		for _, p := range w.runningDaemons() {
 			d, err := p.dump()
 			for _, g := range d.Groups {
 				if err == nil && g.Group == "lm" && g.Held {
@@ -438,7 +438,7 @@
 // call sends a request to the daemon's listener for callers. Headers are pairs
 // of a name and a value.
 func (p *proc) call(method, path, body string, headers ...string) reply {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), eventTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+p.callers+path, strings.NewReader(body))
 	if err != nil {
@@ -505,7 +505,7 @@
 }
 
 // replicas returns the number of engines that hold a unit.
-func (w *world) replicas(unit string) int {
+func (w *testbed) replicas(unit string) int {
 	n := 0
 	for _, e := range w.engines {
 		for _, u := range e.Units() {
@@ -519,7 +519,7 @@
 
 // checkMemory fails the test if any engine was ever overcommitted, or if its units
 // ever took memory that is reserved for KV caches.
-func (w *world) checkMemory() {
+func (w *testbed) checkMemory() {
 	w.t.Helper()
 	for name, e := range w.engines {
 		if s := e.Stats(); s.Overcommitted > 0 || s.PeakMemoryMiB > w.bundle.Services[0].Endpoints[0].MemoryMiB-reserveMiB {
@@ -530,7 +530,7 @@
 
 // watchReplicas samples the engines until the returned function is called,
 // which fails the test if a unit ever had more than limit replicas.
-func (w *world) watchReplicas(unit string, limit int) (stop func()) {
+func (w *testbed) watchReplicas(unit string, limit int) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	peak, done := 0, make(chan struct{})
 	go func() {
@@ -550,7 +550,7 @@
 	}
 }
 
-func (w *world) addressesOf(p *proc) (callers.Addresses, error) {
+func (w *testbed) addressesOf(p *proc) (callers.Addresses, error) {
 	var a callers.Addresses
 	r := p.call("GET", "/v1/addresses", "")
 	if r.err != nil {
--- a/e2e/limits_test.go
+++ b/e2e/limits_test.go
@@ -15,52 +15,52 @@
 // own, so that together they exceed it.
 func TestEndpointThatNamesALimitIsPaced(t *testing.T) {
 	const (
-		says   = "2"
-		most   = 17 // within the window: one and a half times the limit, and 5 more
-		window = 4 * time.Second
-		known  = 3 * time.Second
+		limit       = "2"
+		maxInWindow = 17 // within the window: one and a half times the limit, and 5 more
+		window      = 4 * time.Second
+		propagation = 3 * time.Second
 	)
 	o := defaults()
 	o.engines, o.models, o.plain = 0, 0, 2
 	o.change = func(b *bundle.Bundle) { b.Services = b.Services[1:] } // without the engines
-	w := newWorld(t, o)
+	w := newTestbed(t, o)
 	services := []*service.Service{w.services["app0"], w.services["app1"]}
 	w.eventually("calls are served", func() bool { return w.daemons[0].call("POST", "/services/app/x", "first").ok() })
-	services[0].SetRateLimit(says)
-	named := time.Now()
-	served, all := w.press(known + 2*window)
+	services[0].SetRateLimit(limit)
+	reportedAt := time.Now()
+	served, all := w.sendCalls(propagation + 2*window)
 	arrived := services[0].Arrivals()
-	worst, first := 0, 0
+	largest, first := 0, 0
 	for i, at := range arrived {
-		for at.Sub(arrived[first]) > window || arrived[first].Before(named.Add(known)) && first < i {
+		for at.Sub(arrived[first]) > window || arrived[first].Before(reportedAt.Add(propagation)) && first < i {
 			first++
 		}
-		worst = max(worst, i-first+1)
+		largest = max(largest, i-first+1)
 	}
-	if worst > most {
-		t.Errorf("%d requests in 4 s at a limit of %s a second, allowed %d", worst, says, most)
+	if largest > maxInWindow {
+		t.Errorf("%d requests in 4 s at a limit of %s a second, allowed %d", largest, limit, maxInWindow)
 	}
 	if served < all*99/100 {
 		t.Errorf("%d of %d served though another endpoint has room", served, all)
 	}
 	services[0].SetRateLimit("")
 	before := len(services[0].Arrivals())
-	w.press(5 * time.Second)
+	w.sendCalls(5 * time.Second)
 	if n := len(services[0].Arrivals()) - before; n < 60 {
 		t.Errorf("%d requests in the 5 s after the limit was lifted, want at least 60", n)
 	}
 	services[0].SetRateLimit("0")
 	services[1].SetRateLimit("0")
-	w.press(known)
+	w.sendCalls(propagation)
 	r := w.daemons[0].call("POST", "/services/app/x", "too many")
 	if r.status != http.StatusServiceUnavailable || r.refusal.Reason != "endpoints-limited" || r.header.Get("Retry-After") == "" {
 		t.Errorf("with all endpoints at their limit a call got %d %q, Retry-After %q", r.status, r.refusal.Reason, r.header.Get("Retry-After"))
 	}
 }
 
-// press sends a call every 20 ms to the daemons in turn for the time d, and returns
+// sendCalls sends a call every 20 ms to the daemons in turn for the time d, and returns
 // how many were served and how many were sent.
-func (w *world) press(d time.Duration) (served, all int) {
+func (w *testbed) sendCalls(d time.Duration) (served, all int) {
 	const every = 20 * time.Millisecond
 	var mu sync.Mutex
 	var wg sync.WaitGroup
--- a/e2e/log_test.go
+++ b/e2e/log_test.go
@@ -11,8 +11,8 @@
 	"github.com/doorvalve/doorvalve/standin/fault"
 )
 
-// line is a line of a daemon's log, with the fields that tests look at.
-type line struct {
+// logLine is a line of a daemon's log, with the fields that tests look at.
+type logLine struct {
 	Message  string `json:"@message"`
 	Level    string `json:"@level"`
 	Request  string `json:"request"`
@@ -22,13 +22,13 @@
 }
 
 // lines returns the complete lines of a daemon's log so far.
-func (p *proc) lines() []line {
-	var all []line
+func (p *proc) lines() []logLine {
+	var all []logLine
 	for text := range strings.Lines(p.log.String()) {
 		if !strings.HasSuffix(text, "\n") {
 			break // still being written
 		}
-		var l line
+		var l logLine
 		if err := json.Unmarshal([]byte(text), &l); err != nil {
 			p.w.t.Fatalf("%s: not JSON: %q", p.name, text)
 		}
@@ -37,9 +37,9 @@
 	return all
 }
 
-// logged waits until any daemon has logged an event for a request, and returns the line.
-func (w *world) logged(event, request string) line {
-	var found line
+// waitForLog waits until any daemon has logged an event for a request, and returns the line.
+func (w *testbed) waitForLog(event, request string) logLine {
+	var found logLine
 	w.eventually(event+" of "+request+" is logged", func() bool {
 		for _, p := range w.daemons {
 			for _, l := range p.lines() {
@@ -57,18 +57,18 @@
 // Each final answer must be logged with the reason and the verdict that the caller
 // got, and every event that is logged above debug level must be described in
 // docs/OPERATIONS.md.
-func TestLogTellsOfEachRequest(t *testing.T) {
+func TestLogCoversEachRequest(t *testing.T) {
 	page, err := os.ReadFile("../docs/OPERATIONS.md")
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := newWorld(t, defaults())
+	w := newTestbed(t, defaults())
 	_, served := w.daemons[0].complete("m0", "x", 2)
-	if l := w.logged(decisions.EventAnswered, served.header.Get(protocol.HeaderRequestID)); l.Endpoint == "" {
+	if l := w.waitForLog(decisions.EventAnswered, served.header.Get(protocol.HeaderRequestID)); l.Endpoint == "" {
 		t.Errorf("no endpoint: %+v", l)
 	}
 	unknown := w.daemons[1].call("POST", "/v1/completions", `{"model":"nobody's","prompt":"p"}`)
-	if l := w.logged(decisions.EventRefused, unknown.header.Get(protocol.HeaderRequestID)); l.Reason != "unknown-model" || l.Verdict != protocol.NotRun.String() {
+	if l := w.waitForLog(decisions.EventRefused, unknown.header.Get(protocol.HeaderRequestID)); l.Reason != "unknown-model" || l.Verdict != protocol.NotRun.String() {
 		t.Errorf("refused: %+v", l)
 	}
 	for _, e := range w.engines {
@@ -76,16 +76,16 @@
 	}
 	_, crossed := w.daemons[0].complete("m0", "y", 2, protocol.HeaderTimeout, "3000")
 	id := crossed.header.Get(protocol.HeaderRequestID)
-	if l := w.logged(decisions.EventFailed, id); l.Verdict == protocol.NotRun.String() {
+	if l := w.waitForLog(decisions.EventFailed, id); l.Verdict == protocol.NotRun.String() {
 		t.Errorf("failed: %+v", l)
 	}
-	if l := w.logged(decisions.EventAttemptFailed, id); l.Endpoint == "" || l.Reason == "" {
+	if l := w.waitForLog(decisions.EventAttemptFailed, id); l.Endpoint == "" || l.Reason == "" {
 		t.Errorf("attempt: %+v", l)
 	}
 	w.platform.Faults.Set(fault.Settings{Fail: true})
-	w.eventually("the loss of the platform is logged", func() bool { return w.says(decisions.EventDependencyLost) })
+	w.eventually("the loss of the platform is logged", func() bool { return w.hasLogged(decisions.EventDependencyLost) })
 	w.platform.Faults.Set(fault.Settings{})
-	w.eventually("its return is logged", func() bool { return w.says(decisions.EventDependencyRegained) })
+	w.eventually("its return is logged", func() bool { return w.hasLogged(decisions.EventDependencyRegained) })
 	w.daemons[0].stop()
 	<-w.daemons[0].exited
 	for _, p := range w.daemons {
@@ -98,7 +98,7 @@
 }
 
 // says reports whether any daemon has logged an event.
-func (w *world) says(event string) bool {
+func (w *testbed) hasLogged(event string) bool {
 	for _, p := range w.daemons {
 		for _, l := range p.lines() {
 			if l.Message == event {
--- a/e2e/modes_test.go
+++ b/e2e/modes_test.go
@@ -23,7 +23,7 @@
 func TestModesMoveOverAndBack(t *testing.T) {
 	o := defaults()
 	o.change = func(b *bundle.Bundle) { b.Services[0].Mode = bundle.ModeScripts }
-	w := newWorld(t, o)
+	w := newTestbed(t, o)
 	w.engines["w0"].Preload(protocol.EngineUnit{Unit: "m0", Version: "1", MemoryMiB: modelMiB})
 	orders := func() (n int) {
 		for _, e := range w.engines {
--- a/e2e/orders_test.go
+++ b/e2e/orders_test.go
@@ -19,7 +19,7 @@
 // checkVerdicts compares the replies to the calls with each key with the services'
 // own counts. No key may have run more than once, a key with a successful reply
 // must have run once, and a key with only "not run" replies must not have run.
-func (w *world) checkVerdicts(replies map[string][]reply) {
+func (w *testbed) checkVerdicts(replies map[string][]reply) {
 	w.t.Helper()
 	runs := map[string]int{}
 	for _, s := range w.services {
@@ -47,7 +47,7 @@
 // Calls with the same keys arrive at all daemons at once. Each key must run once,
 // and exactly one of its calls must get the answer.
 func TestOrdersSameKeyEverywhere(t *testing.T) {
-	w := newWorld(t, defaults())
+	w := newTestbed(t, defaults())
 	var mu sync.Mutex
 	replies := map[string][]reply{}
 	var wg sync.WaitGroup
@@ -83,7 +83,7 @@
 func TestOrdersDaemonsKilledAndReplaced(t *testing.T) {
 	o := defaults()
 	o.work = 20 * time.Millisecond
-	w := newWorld(t, o)
+	w := newTestbed(t, o)
 	var mu sync.Mutex
 	procs := append([]*proc(nil), w.daemons...)
 	pick := func(n int) *proc {
@@ -138,7 +138,7 @@
 // took effect. Verdicts must stay true, and during an outage orders must be
 // refused as "not run" with Retry-After.
 func TestOrdersPlatformFaults(t *testing.T) {
-	w := newWorld(t, defaults())
+	w := newTestbed(t, defaults())
 	if r := w.daemons[0].order("warm"); !r.ok() {
 		t.Fatalf("order: %d %v", r.status, r.refusal)
 	}
@@ -187,7 +187,7 @@
 // sent a second time, also if the connection had been idle, and the verdict must
 // be that it may have run.
 func TestOrdersAnswerOfServiceLost(t *testing.T) {
-	w := newWorld(t, defaults())
+	w := newTestbed(t, defaults())
 	for range 4 { // opens connections that are idle when the orders come
 		for _, p := range w.daemons {
 			if r := p.call("GET", "/services/app/x", ""); !r.ok() {
@@ -216,7 +216,7 @@
 func TestOrdersServiceErrorPassesThrough(t *testing.T) {
 	o := defaults()
 	o.plain = 1
-	w := newWorld(t, o)
+	w := newTestbed(t, o)
 	if r := w.daemons[0].order("first"); !r.ok() {
 		t.Fatalf("order: %d %v", r.status, r.refusal)
 	}
--- a/e2e/overload_test.go
+++ b/e2e/overload_test.go
@@ -16,8 +16,8 @@
 	"github.com/doorvalve/doorvalve/state/bundle"
 )
 
-// timed is a reply with the time that it took.
-type timed struct {
+// timedReply is a reply with the time that it took.
+type timedReply struct {
 	reply
 	text string
 	took time.Duration
@@ -30,13 +30,13 @@
 	const timeout = 6 * time.Second
 	o := defaults()
 	o.engines, o.slots, o.tokenTime = 1, 4, 20*time.Millisecond
-	w := newWorld(t, o)
+	w := newTestbed(t, o)
 	if _, r := w.daemons[0].complete("m0", "warm", 2); !r.ok() {
 		t.Fatalf("warm-up: %d %v", r.status, r.refusal)
 	}
 	const each = 90 // requests of each class; one takes 200 ms, so about 120 fit into the time-out
 	var mu sync.Mutex
-	byClass := map[string][]timed{}
+	byClass := map[string][]timedReply{}
 	var wg sync.WaitGroup
 	for i := range each {
 		for class, headers := range map[string][]string{"crew": nil, "night": {"Authorization", "Bearer night"}} {
@@ -49,7 +49,7 @@
 				if r.ok() && text != engine.Answer(prompt, 10) {
 					t.Errorf("%s got %q", prompt, text)
 				}
-				byClass[class] = append(byClass[class], timed{r, text, time.Since(start)})
+				byClass[class] = append(byClass[class], timedReply{r, text, time.Since(start)})
 			})
 		}
 	}
@@ -81,7 +81,7 @@
 func TestOverloadColdStartRefusedAtOnce(t *testing.T) {
 	o := defaults()
 	o.loadTime = 5 * time.Second
-	w := newWorld(t, o)
+	w := newTestbed(t, o)
 	w.holder()
 	for _, p := range w.daemons {
 		start := time.Now()
@@ -102,7 +102,7 @@
 	o.models, o.adapters = 12, 3
 	o.loadTime = 100 * time.Millisecond
 	o.change = func(b *bundle.Bundle) { b.Policy.MinIdle = bundle.Duration(0) }
-	w := newWorld(t, o)
+	w := newTestbed(t, o)
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	ok := 0
@@ -140,7 +140,7 @@
 // loaded and load none of them a second time.
 func TestMemoryRestartAdopts(t *testing.T) {
 	o := defaults()
-	w := newWorld(t, o)
+	w := newTestbed(t, o)
 	for i := range 3 {
 		if _, r := w.daemons[i].complete(fmt.Sprintf("m%d", i), "x", 2); !r.ok() {
 			t.Fatalf("m%d: %d %v", i, r.status, r.refusal)
@@ -157,7 +157,7 @@
 	w.inForce(1)
 	for i := range 3 {
 		w.eventually(fmt.Sprintf("m%d served", i), func() bool {
-			text, r := w.living()[i].complete(fmt.Sprintf("m%d", i), "y", 3)
+			text, r := w.runningDaemons()[i].complete(fmt.Sprintf("m%d", i), "y", 3)
 			return r.ok() && text == engine.Answer("y", 3)
 		})
 	}
@@ -177,7 +177,7 @@
 // served, with one replica of their model.
 func TestReplicasAnswersLost(t *testing.T) {
 	o := defaults()
-	w := newWorld(t, o)
+	w := newTestbed(t, o)
 	w.holder()
 	check := w.watchReplicas("m0", 1)
 	w.platform.Faults.Set(fault.Settings{LoseAnswers: 5, Path: "/objects/placement/", Method: "PUT"})
@@ -200,12 +200,12 @@
 // If the new daemon ranks lower than the holder, the holder is killed, and the
 // next by rank takes over before another daemon starts. Each further holder
 // ranks lower, so few rounds are enough.
-func (w *world) outrankedHolder(o options) *proc {
+func (w *testbed) outrankedHolder(o options) *proc {
 	w.t.Helper()
 	for n := range 12 {
 		holder := w.holder()
 		w.startDaemon(fmt.Sprintf("more%d", n), "hall-c", o)
-		w.eventually("all daemons are known", func() bool { return holder.knows(w.living()) })
+		w.eventually("all daemons are known", func() bool { return holder.seesAlive(w.runningDaemons()) })
 		d, err := holder.dump()
 		if err != nil {
 			w.t.Fatal(err)
@@ -219,9 +219,9 @@
 	return nil
 }
 
-// knows reports whether as many daemons are alive in the daemon's membership view
+// seesAlive reports whether as many daemons are alive in the daemon's membership view
 // as in the list.
-func (p *proc) knows(living []*proc) bool {
+func (p *proc) seesAlive(running []*proc) bool {
 	d, err := p.dump()
 	alive := 0
 	for _, m := range d.Members {
@@ -229,7 +229,7 @@
 			alive++
 		}
 	}
-	return err == nil && alive == len(living)
+	return err == nil && alive == len(running)
 }
 
 // The platform is unavailable for longer than the term of the lease. Loaded models
@@ -239,7 +239,7 @@
 // again.
 func TestOutageServesFromLastState(t *testing.T) {
 	o := defaults()
-	w := newWorld(t, o)
+	w := newTestbed(t, o)
 	if _, r := w.daemons[0].complete("m0", "x", 2); !r.ok() {
 		t.Fatalf("m0: %d %v", r.status, r.refusal)
 	}
@@ -252,13 +252,13 @@
 			return g.Held && slices.ContainsFunc(g.Ready, func(r string) bool { return strings.HasPrefix(r, "m0@") })
 		})
 	})
-	living := w.living()
+	running := w.runningDaemons()
 	w.platform.Faults.Set(fault.Settings{Fail: true})
 	w.eventually("the lease has lapsed", func() bool {
 		d, err := holder.dump()
 		return err == nil && len(d.Groups) == 2 && !d.Groups[0].Held && !d.Groups[1].Held
 	})
-	for _, p := range living {
+	for _, p := range running {
 		if text, r := p.complete("m0", "during", 3); !r.ok() || text != engine.Answer("during", 3) {
 			t.Errorf("%s: m0 in the outage: %d %v", p.name, r.status, r.refusal)
 		}
@@ -274,12 +274,12 @@
 		}
 	}
 	w.eventually("m0 is loaded again in the outage", func() bool {
-		text, r := living[1].complete("m0", "woken", 3)
+		text, r := running[1].complete("m0", "woken", 3)
 		return r.ok() && text == engine.Answer("woken", 3)
 	})
 	w.platform.Faults.Set(fault.Settings{})
 	w.eventually("m3 is served after the outage", func() bool {
-		text, r := living[2].complete("m3", "after", 3)
+		text, r := running[2].complete("m3", "after", 3)
 		return r.ok() && text == engine.Answer("after", 3)
 	})
 	w.checkMemory()
--- a/e2e/path_test.go
+++ b/e2e/path_test.go
@@ -12,7 +12,7 @@
 // A burst of requests for an unloaded model at all daemons must cause exactly one
 // load, and each caller must get its own answer.
 func TestPathColdBurst(t *testing.T) {
-	w := newWorld(t, defaults())
+	w := newTestbed(t, defaults())
 	check := w.watchReplicas("m0", 1)
 	var wg sync.WaitGroup
 	for i := range 30 {
@@ -39,7 +39,7 @@
 func TestPathStreamAndAdapter(t *testing.T) {
 	o := defaults()
 	o.adapters = 2
-	w := newWorld(t, o)
+	w := newTestbed(t, o)
 	for _, model := range []string{"m1", "a1"} {
 		text, whole, r := w.daemons[1].stream(model, "a prompt", 20)
 		if !r.ok() || !whole || text != engine.Answer("a prompt", 20) {
@@ -50,7 +50,7 @@
 }
 
 func TestPathPlainServiceAndOrder(t *testing.T) {
-	w := newWorld(t, defaults())
+	w := newTestbed(t, defaults())
 	if r := w.daemons[0].call("GET", "/services/app/positions?day=2", ""); !r.ok() {
 		t.Fatalf("plain call: %d %s %v", r.status, r.body, r.err)
 	}
@@ -68,7 +68,7 @@
 
 // checkRanAtMostOnce checks by the services' own counts that no key ran more than
 // once, and that the keys with true in keys ran.
-func (w *world) checkRanAtMostOnce(keys map[string]bool) {
+func (w *testbed) checkRanAtMostOnce(keys map[string]bool) {
 	w.t.Helper()
 	runs := map[string]int{}
 	for _, s := range w.services {
--- a/e2e/replicas_test.go
+++ b/e2e/replicas_test.go
@@ -13,7 +13,7 @@
 func TestReplicasHolderKilledMidLoad(t *testing.T) {
 	o := defaults()
 	o.loadTime = 3 * time.Second
-	w := newWorld(t, o)
+	w := newTestbed(t, o)
 	holder := w.holder()
 	check := w.watchReplicas("m0", 1)
 	var other *proc
@@ -50,7 +50,7 @@
 			o := defaults()
 			o.fencing = fencing
 			o.loadTime = 200 * time.Millisecond
-			w := newWorld(t, o)
+			w := newTestbed(t, o)
 			holder := w.holder()
 			checks := []func(){w.watchReplicas("m0", 1), w.watchReplicas("m1", 1), w.watchReplicas("m2", 1)}
 			var other *proc
--- a/e2e/restore_test.go
+++ b/e2e/restore_test.go
@@ -10,15 +10,15 @@
 // against daemons that then return to the older generation, use the drained endpoint, run the order
 // a second time, or don't adopt later rollouts.
 func TestPlatformComesBackFromACopy(t *testing.T) {
-	w := newWorld(t, defaults())
+	w := newTestbed(t, defaults())
 	a := w.daemons[0]
 	if _, r := a.complete("m0", "one", 5); !r.ok() {
 		t.Fatalf("%+v", r)
 	}
-	copied := w.platform.Backup()
-	w.rollout(withNote(w.bundle, 33))
+	backup := w.platform.Backup()
+	w.rollout(withWorth(w.bundle, 33))
 	w.inForce(2)
-	if _, err := a.operate("anna", "POST", "/v1/endpoints/app0/drain", nil, nil); err != nil {
+	if _, err := a.callOperators("anna", "POST", "/v1/endpoints/app0/drain", nil, nil); err != nil {
 		t.Fatal(err)
 	}
 	if r := a.order("key-1"); !r.ok() {
@@ -34,7 +34,7 @@
 	}
 	w.eventually("the drained endpoint gets no calls", drained)
 
-	w.platform.Restore(copied)
+	w.platform.Restore(backup)
 	w.eventually("the rollout is written again", func() bool { return w.pointer(a).Generation == 2 })
 	for _, p := range w.daemons {
 		if d, err := p.dump(); err != nil || d.Generation != 2 {
@@ -52,7 +52,7 @@
 	if !drained() {
 		t.Error("the drained endpoint gets calls after the restore")
 	}
-	w.rollout(withNote(w.bundle, 34))
+	w.rollout(withWorth(w.bundle, 34))
 	w.inForce(3)
 	w.eventually("a model is loaded", func() bool { _, r := w.daemons[2].complete("m1", "two", 5); return r.ok() })
 	w.checkMemory()
@@ -63,7 +63,7 @@
 	if runs != 1 {
 		t.Errorf("the order ran %d times", runs)
 	}
-	if !w.says("state written again after a restore") {
+	if !w.hasLogged("state written again after a restore") {
 		t.Error("no daemon logged the state that it wrote again")
 	}
 }
--- a/e2e/stop_test.go
+++ b/e2e/stop_test.go
@@ -19,7 +19,7 @@
 func TestStopRollingRestartCutsNothing(t *testing.T) {
 	o := defaults()
 	o.tokenTime = 5 * time.Millisecond
-	w := newWorld(t, o)
+	w := newTestbed(t, o)
 	if _, _, r := w.daemons[0].stream("m0", "warm", 2); !r.ok() {
 		t.Fatalf("warm-up: %d %v", r.status, r.refusal)
 	}
@@ -35,13 +35,13 @@
 	for c := range 6 {
 		wg.Go(func() {
 			mu.Lock()
-			ask := procs[c%3]
+			daemon := procs[c%3]
 			mu.Unlock()
 			for n := 0; !stop.Load(); n++ {
-				a, err := w.addressesOf(ask)
+				a, err := w.addressesOf(daemon)
 				if err != nil || len(a.Addresses) == 0 {
 					mu.Lock() // this daemon has stopped: use another
-					ask = procs[(c+n)%len(procs)]
+					daemon = procs[(c+n)%len(procs)]
 					mu.Unlock()
 					time.Sleep(10 * time.Millisecond)
 					continue
--- a/e2e/workspaces_test.go
+++ b/e2e/workspaces_test.go
@@ -19,7 +19,7 @@
 			{Name: "bulk", Class: "batch", KeysSHA256: []string{bundle.Digest([]byte("bulk-key"))}, Quota: &bundle.Quota{RequestsPerSecond: 1, Burst: 20}},
 		}
 	}
-	w := newWorld(t, o)
+	w := newTestbed(t, o)
 	get := func(daemon int, key string) reply {
 		return w.daemons[daemon].call("GET", "/services/app/positions", "", "Authorization", "Bearer "+key)
 	}
