--- a/e2e/log_test.go
+++ b/e2e/log_test.go
@@ -97,7 +97,7 @@
 	}
 }
 
-// says reports whether any daemon has logged an event.
+// hasLogged reports whether any daemon has logged an event.
 func (w *testbed) hasLogged(event string) bool {
 	for _, p := range w.daemons {
 		for _, l := range p.lines() {
