--- a/cmd/doorvalve-bench/slopes.go
+++ b/cmd/doorvalve-bench/slopes.go
@@ -23,7 +23,7 @@
 
 type slopesCmd struct{}
 
-// Run prints one CSV line a measurement.
+// Run prints one CSV line for each measurement.
 func (*slopesCmd) Run() error {
 	for _, measure := range []func() []point{configuration, groupByEndpoints, groupByUnits, sharing, reports, claimShards, members} {
 		if err := write(os.Stdout, measure()...); err != nil {
@@ -33,21 +33,21 @@
 	return nil
 }
 
-// timed returns the mean time of f in microseconds, over at least a quarter of
+// meanMicroseconds returns the mean time of f in microseconds, over at least a quarter of
 // a second.
-func timed(f func()) float64 {
-	const least = 250 * time.Millisecond
+func meanMicroseconds(f func()) float64 {
+	const minTime = 250 * time.Millisecond
 	f()
 	start, n := time.Now(), 0
-	for time.Since(start) < least {
+	for time.Since(start) < minTime {
 		f()
 		n++
 	}
 	return float64(time.Since(start).Microseconds()) / float64(n)
 }
 
-// held returns the memory in KB that what f builds holds on to.
-func held(f func() any) float64 {
+// heapKB returns the heap memory that the value built by f keeps in use, in KB.
+func heapKB(f func() any) float64 {
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
@@ -58,7 +58,7 @@
 	return max(0, float64(after.HeapAlloc)-float64(before.HeapAlloc)) / 1000
 }
 
-// makeBundle declares a group of engines with models and adapters.
+// makeBundle returns a bundle with one group of engines, its models and its adapters.
 func makeBundle(engines, models, adapters int) *bundle.Bundle {
 	b := &bundle.Bundle{
 		Format: bundle.Format, FailureDomains: []string{"a"}, AddressTTL: bundle.Duration(5 * time.Second), DefaultClass: "c",
@@ -80,7 +80,7 @@
 	return b
 }
 
-// configuration measures a bundle against the adapters that it declares.
+// configuration measures a bundle and its adoption by the number of adapters.
 func configuration() []point {
 	var points []point
 	for _, adapters := range []int{60, 300, 900, 1800} {
@@ -88,21 +88,22 @@
 		x := float64(adapters)
 		points = append(points,
 			point{"configuration", "bundle", "KB", "adapters", x, float64(len(content)) / 1000},
-			point{"configuration", "adoption of a generation", "µs", "adapters", x, timed(func() { parse(content) })},
-			point{"configuration", "snapshot in memory", "KB", "adapters", x, held(func() any { return parse(content) })})
+			point{"configuration", "adoption of a generation", "µs", "adapters", x, meanMicroseconds(func() { parse(content) })},
+			point{"configuration", "snapshot in memory", "KB", "adapters", x, heapKB(func() any { return parse(content) })})
 	}
 	return points
 }
 
+// parse does the work of adopting a bundle.
 func parse(content []byte) *snapshot.Snapshot {
 	b, err := bundle.Parse("bench", content)
 	if err != nil {
-		panic(err) // the benchmark's own bundle is wrong
+		panic(err) // makeBundle returned an invalid bundle
 	}
 	return snapshot.New(1, "", content, b)
 }
 
-// group is a placement machine with everything loaded that is recorded.
+// group is a placement machine whose recorded units are all loaded.
 type group struct {
 	m      *placement.Machine
 	now    time.Time
@@ -136,7 +137,8 @@
 	return g
 }
 
-// observe is one round of endpoint reports with the decision after it.
+// observe passes one report of each endpoint to the machine and has it decide.
+// All orders that it returns succeed.
 func (g *group) observe() {
 	g.now = g.now.Add(time.Second)
 	for _, s := range g.states {
@@ -148,17 +150,19 @@
 	}
 }
 
+// groupByEndpoints measures a placement group by its number of endpoints.
 func groupByEndpoints() []point {
 	var points []point
 	for _, engines := range []int{9, 18, 36, 72} {
 		g := newGroup(engines, 98, 200)
 		points = append(points,
-			point{"placement group", "one round of reports and decision", "µs", "endpoints", float64(engines), timed(g.observe)},
-			point{"placement group", "memory", "KB", "endpoints", float64(engines), held(func() any { return newGroup(engines, 98, 200) })})
+			point{"placement group", "one round of reports and decision", "µs", "endpoints", float64(engines), meanMicroseconds(g.observe)},
+			point{"placement group", "memory", "KB", "endpoints", float64(engines), heapKB(func() any { return newGroup(engines, 98, 200) })})
 	}
 	return points
 }
 
+// groupByUnits measures a placement group by the number of loaded adapters.
 func groupByUnits() []point {
 	var points []point
 	for _, adapters := range []int{60, 300, 900, 1800} {
@@ -167,21 +171,21 @@
 		state, _ := json.Marshal(g.states[0])
 		x := float64(adapters)
 		points = append(points,
-			point{"placement group", "one round of reports and decision", "µs", "adapters loaded", x, timed(g.observe)},
+			point{"placement group", "one round of reports and decision", "µs", "adapters loaded", x, meanMicroseconds(g.observe)},
 			point{"placement group", "recorded object", "KB", "adapters loaded", x, float64(len(object)) / 1000},
 			point{"endpoint reports", "a changed report", "KB", "adapters loaded", x, float64(len(state)) / 1000})
 	}
 	return points
 }
 
-// sharing measures one allocation of slots against the daemons that report.
+// sharing measures one allocation of slots by the number of daemons that report demand.
 func sharing() []point {
 	var points []point
 	for _, daemons := range []int{7, 50, 150, 370} {
 		now := time.Unix(1_000_000, 0)
-		book := grants.NewAllocator()
+		allocator := grants.NewAllocator()
 		for d := range daemons {
-			book.Report(now, fmt.Sprintf("daemon-%d", d), []grants.UnitReport{{Unit: "model-0", InFlight: 1}, {Unit: "model-1", Waiting: []grants.Waiting{{Worth: 5, Count: 2, Deadline: now}}}})
+			allocator.Report(now, fmt.Sprintf("daemon-%d", d), []grants.UnitReport{{Unit: "model-0", InFlight: 1}, {Unit: "model-1", Waiting: []grants.Waiting{{Worth: 5, Count: 2, Deadline: now}}}})
 		}
 		var replicas []placement.Replica
 		for e := range 8 {
@@ -189,13 +193,13 @@
 				replicas = append(replicas, placement.Replica{Unit: fmt.Sprintf("model-%d", u), Endpoint: bundle.Endpoint{Name: fmt.Sprint("e", e), Slots: 64}})
 			}
 		}
-		points = append(points, point{"sharing of slots", "one allocation", "µs", "daemons", float64(daemons), timed(func() { book.Allocate(now, replicas) })})
+		points = append(points, point{"sharing of slots", "one allocation", "µs", "daemons", float64(daemons), meanMicroseconds(func() { allocator.Allocate(now, replicas) })})
 	}
 	return points
 }
 
-// reports measures a daemon's report and its answer, without HTTP's headers,
-// against the units in use.
+// reports measures the size of a daemon's demand report and its answer, without
+// HTTP headers, by the number of units in use.
 func reports() []point {
 	var points []point
 	for _, units := range []int{1, 4, 16, 64} {
@@ -212,7 +216,7 @@
 	return points
 }
 
-// claimShards measures one shard against the claims a second that it takes.
+// claimShards measures one shard by the rate of its claims.
 func claimShards() []point {
 	var points []point
 	for _, rate := range []int{3, 10, 30, 100, 300} {
@@ -221,32 +225,32 @@
 		points = append(points,
 			point{"claims", "writes of a shard", "1/s", "claims/s", x, writes},
 			point{"claims", "bytes written of a shard", "KB/s", "claims/s", x, bytes / 1000},
-			point{"claims", "memory of an hour's keys of a shard", "MB", "claims/s", x, held(func() any { return claimIndex(rate * 3600) }) / 1000})
+			point{"claims", "memory of an hour's keys of a shard", "MB", "claims/s", x, heapKB(func() any { return claimIndex(rate * 3600) }) / 1000})
 	}
 	return points
 }
 
-// claimRun drives one shard for ten seconds of virtual time, with claims
-// evenly spread and a platform that answers in 3 ms.
+// claimRun runs one shard for ten seconds of virtual time with evenly spread
+// claims and a platform that answers within 3 ms.
 func claimRun(rate int) (writesPerSecond, bytesPerSecond float64) {
 	const seconds, answer = 10, 3 * time.Millisecond
 	s := claims.NewShard(claims.Options{Owner: "bench", Interval: claims.DefaultInterval, RetryWait: time.Second, Retention: time.Hour, MaxOpen: claims.DefaultMaxOpen})
 	now := time.Unix(1_000_000, 0)
-	version, writes, bytes, asked := uint64(0), 0, 0, 0
-	var out claims.Event
+	version, writes, bytes, requested := uint64(0), 0, 0, 0
+	var pending claims.Event
 	var due time.Time
 	for end := now.Add(seconds * time.Second); now.Before(end); now = now.Add(time.Millisecond) {
-		for float64(asked) < float64(rate)*now.Sub(end.Add(-seconds*time.Second)).Seconds() {
-			asked++
-			s.Step(now, claims.Claim{Key: claims.MakeKey("c", "s", fmt.Sprint(asked)), ClaimID: fmt.Sprintf("entry-12-0123abcd-%x", asked)})
+		for float64(requested) < float64(rate)*now.Sub(end.Add(-seconds*time.Second)).Seconds() {
+			requested++
+			s.Step(now, claims.Claim{Key: claims.MakeKey("c", "s", fmt.Sprint(requested)), ClaimID: fmt.Sprintf("entry-12-0123abcd-%x", requested)})
 		}
-		if out != nil && !now.Before(due) {
-			s.Step(now, out)
-			out = nil
+		if pending != nil && !now.Before(due) {
+			s.Step(now, pending)
+			pending = nil
 		}
 		r := s.Ready(now)
 		if r.Read {
-			out, due = claims.ReadDone{Version: storeversion.Version{Revision: version}}, now.Add(answer)
+			pending, due = claims.ReadDone{Version: storeversion.Version{Revision: version}}, now.Add(answer)
 		}
 		if r.Write != nil {
 			body, _ := json.Marshal(r.Write.Head)
@@ -257,12 +261,13 @@
 				body, _ = json.Marshal(r.Write.Seal)
 				bytes += len(body)
 			}
-			out, due = claims.WriteDone{Outcome: protocol.WriteOK, Version: storeversion.Version{Revision: version}}, now.Add(answer)
+			pending, due = claims.WriteDone{Outcome: protocol.WriteOK, Version: storeversion.Version{Revision: version}}, now.Add(answer)
 		}
 	}
 	return float64(writes) / seconds, float64(bytes) / seconds
 }
 
+// claimIndex returns an index of n keys, as a shard holds it in memory.
 func claimIndex(n int) any {
 	index := make(map[claims.Key]claims.ClaimHash, n)
 	for i := range n {
@@ -271,12 +276,13 @@
 	return index
 }
 
-// members measures a view's memory; its traffic is measured by daemons and by
-// the membership package's test.
+// members measures the memory of a membership view by the number of daemons. The
+// traffic is measured by the rest command on running daemons, and by a test of
+// the membership package.
 func members() []point {
 	var points []point
 	for _, n := range []int{7, 50, 150, 370} {
-		points = append(points, point{"membership", "view in memory", "KB", "daemons", float64(n), held(func() any {
+		points = append(points, point{"membership", "view in memory", "KB", "daemons", float64(n), heapKB(func() any {
 			now := time.Unix(1_000_000, 0)
 			m := membership.New(membership.DefaultOptions(1), membership.Member{ID: "self"}, now)
 			for i := range n {
--- a/e2e/answers_test.go
+++ b/e2e/answers_test.go
@@ -13,8 +13,8 @@
 	"github.com/doorvalve/doorvalve/standin/fault"
 )
 
-// runs adds up how often each request id ran at the engines.
-func (w *world) runs() map[string]int {
+// runs returns how often each request id ran, summed over the engines.
+func (w *testbed) runs() map[string]int {
 	total := map[string]int{}
 	for _, e := range w.engines {
 		for id, n := range e.Stats().Runs {
@@ -24,10 +24,10 @@
 	return total
 }
 
-// Streams are cut again and again: they are resumed, and each caller gets its
-// own answer byte for byte.
+// Engines close the connection of every stream after a few tokens. The daemons
+// must resume the streams, and each caller must get its own answer byte for byte.
 func TestAnswersCutStreamsResumed(t *testing.T) {
-	w := newWorld(t, defaults())
+	w := newTestbed(t, defaults())
 	if _, _, r := w.daemons[0].stream("m0", "warm", 2); !r.ok() {
 		t.Fatalf("warm-up: %d %v", r.status, r.refusal)
 	}
@@ -47,9 +47,10 @@
 	wg.Wait()
 }
 
-// An engine answers under another attempt's id: nothing of it reaches a caller.
+// Engines answer with the id of another attempt. Such an answer may belong to
+// another request, so no part of it may reach a caller.
 func TestAnswersCrossedNeverDelivered(t *testing.T) {
-	w := newWorld(t, defaults())
+	w := newTestbed(t, defaults())
 	if _, r := w.daemons[0].complete("m0", "warm", 2); !r.ok() {
 		t.Fatalf("warm-up: %d %v", r.status, r.refusal)
 	}
@@ -73,31 +74,32 @@
 	})
 }
 
-// Faults at each step of the path of a model's request: whatever is answered
-// "not run" ran at no engine, by the engines' own counts.
+// Injects a fault at each step of a model request. A request that is refused as
+// "not run" must not have run at any engine, by the engines' own counts; callers
+// rely on that when they send it again.
 func TestAnswersNotRunIsTrue(t *testing.T) {
-	steps := map[string]func(*world){
-		"endpoint fails":         func(w *world) { w.eachEngine(fault.Settings{Fail: true, Path: "/v1/"}) },
-		"answer lost":            func(w *world) { w.eachEngine(fault.Settings{LoseAnswers: -1, Path: "/v1/"}) },
-		"endpoint frozen":        func(w *world) { w.eachEngine(fault.Settings{Freeze: true, Path: "/v1/"}) },
-		"endpoint frozen wholly": func(w *world) { w.eachEngine(fault.Settings{Freeze: true}) },
-		"orders fail":            func(w *world) { w.eachEngine(fault.Settings{Fail: true, Path: "/orders"}) },
-		"platform away":          func(w *world) { w.platform.Faults.Set(fault.Settings{Fail: true}) },
-		"endpoint leaves":        func(w *world) { w.eachEngineLeaving() },
-		"coordinator is killed":  func(w *world) { w.holder().kill() },
-		"coordinator is frozen": func(w *world) {
+	steps := map[string]func(*testbed){
+		"endpoint fails":               func(w *testbed) { w.eachEngine(fault.Settings{Fail: true, Path: "/v1/"}) },
+		"answer lost":                  func(w *testbed) { w.eachEngine(fault.Settings{LoseAnswers: -1, Path: "/v1/"}) },
+		"endpoint frozen":              func(w *testbed) { w.eachEngine(fault.Settings{Freeze: true, Path: "/v1/"}) },
+		"endpoint frozen on all paths": func(w *testbed) { w.eachEngine(fault.Settings{Freeze: true}) },
+		"orders fail":                  func(w *testbed) { w.eachEngine(fault.Settings{Fail: true, Path: "/orders"}) },
+		"platform unavailable":         func(w *testbed) { w.platform.Faults.Set(fault.Settings{Fail: true}) },
+		"endpoint leaves":              func(w *testbed) { w.eachEngineLeaving() },
+		"coordinator is killed":        func(w *testbed) { w.holder().kill() },
+		"coordinator is frozen": func(w *testbed) {
 			holder := w.holder()
 			holder.freeze()
 			time.AfterFunc(3*time.Second, holder.unfreeze)
 		},
-		"nothing, but a slow run": func(w *world) { w.eachEngine(fault.Settings{DelayMs: 300, Path: "/v1/"}) },
+		"no fault, slow run": func(w *testbed) { w.eachEngine(fault.Settings{DelayMs: 300, Path: "/v1/"}) },
 	}
-	for name, cause := range steps {
+	for name, inject := range steps {
 		t.Run(name, func(t *testing.T) {
 			o := defaults()
 			o.slots = 2
 			o.tokenTime = 10 * time.Millisecond
-			w := newWorld(t, o)
+			w := newTestbed(t, o)
 			if _, r := w.daemons[0].complete("m0", "warm", 2); !r.ok() {
 				t.Fatalf("warm-up: %d %v", r.status, r.refusal)
 			}
@@ -105,7 +107,7 @@
 			var mu sync.Mutex
 			var replies []reply
 			var wg sync.WaitGroup
-			ask := func(n int) {
+			sendRequests := func(n int) {
 				for i := range n {
 					wg.Go(func() {
 						_, r := w.daemons[i%3].complete(fmt.Sprintf("m%d", i%3), fmt.Sprint(i), 5, protocol.HeaderTimeout, "1500")
@@ -115,13 +117,13 @@
 					})
 				}
 			}
-			ask(6)
+			sendRequests(6)
 			time.Sleep(20 * time.Millisecond)
-			cause(w)
-			ask(12)
+			inject(w)
+			sendRequests(12)
 			wg.Wait()
 			w.eachEngine(fault.Settings{})
-			time.Sleep(50 * time.Millisecond) // what was held back runs now
+			time.Sleep(50 * time.Millisecond) // calls that were frozen run now
 			ran := w.runs()
 			refused := 0
 			for _, r := range replies {
@@ -131,7 +133,7 @@
 				refused++
 				id := r.header.Get(protocol.HeaderRequestID)
 				if id == "" || ran[id] != before[id] {
-					t.Errorf("%q was \"not run\" (%s) and ran %d times", id, r.refusal.Reason, ran[id])
+					t.Errorf("request %q was refused as \"not run\" (%s) and ran %d times", id, r.refusal.Reason, ran[id])
 				}
 			}
 			t.Logf("%d of %d refused as not run", refused, len(replies))
@@ -139,21 +141,21 @@
 	}
 }
 
-func (w *world) eachEngine(f fault.Settings) {
+func (w *testbed) eachEngine(f fault.Settings) {
 	for _, e := range w.engines {
 		e.Faults.Set(f)
 	}
 }
 
-func (w *world) eachEngineLeaving() {
+func (w *testbed) eachEngineLeaving() {
 	for _, e := range w.engines {
 		e.SetLeaving(true)
 	}
 }
 
-// Bad input gets a clear 4xx, "not run".
+// Invalid requests must get a 4xx status with the reason and the verdict "not run".
 func TestAnswersBadInput(t *testing.T) {
-	w := newWorld(t, defaults())
+	w := newTestbed(t, defaults())
 	p := w.daemons[0]
 	cases := []struct {
 		name, method, path, body string
--- a/e2e/crashing_test.go
+++ b/e2e/crashing_test.go
@@ -11,87 +11,90 @@
 	"github.com/doorvalve/doorvalve/state/bundle"
 )
 
-// Endpoints ended one after the other under one request, which daemons passed on to the
-// next one and whose caller came again, at another daemon. They keep their names and are
-// back after a while, so that nothing but the time tells their lives apart.
+// Guards against a call that crashes every endpoint that executes it: daemons retried it at the
+// next endpoint, and its caller sent it again to other daemons, until all endpoints were down. The
+// endpoints here keep their names and restart after a while, so that only the time distinguishes
+// their incarnations.
 func TestCallThatEndsEndpointsIsHeldBack(t *testing.T) {
 	o := defaults()
 	o.engines, o.models, o.plain = 0, 0, 5
-	var endpoints []*crashing
+	var endpoints []*crashingEndpoint
 	o.change = func(b *bundle.Bundle) {
 		b.Services = b.Services[1:] // without the engines
 		for i := range b.Services[0].Endpoints {
-			c := newCrashing(t)
+			c := newCrashingEndpoint(t)
 			endpoints = append(endpoints, c)
 			b.Services[0].Endpoints[i].Address = c.address
 		}
 	}
-	w := newWorld(t, o)
+	w := newTestbed(t, o)
 	sent := 0
 	send := func(body string) reply {
 		sent++
 		return w.daemons[sent%len(w.daemons)].call("POST", "/services/app/x", body)
 	}
 	w.eventually("calls are served", func() bool { return send("innocent").ok() })
-	w.eventually("three endpoints have ended", func() bool {
-		if endsOf(endpoints) < 3 {
+	w.eventually("three endpoints have crashed", func() bool {
+		if totalCrashes(endpoints) < 3 {
 			send(crashingBody)
 		}
-		return endsOf(endpoints) >= 3
+		return totalCrashes(endpoints) >= 3
 	})
-	time.Sleep(knownWithin)
-	before := endsOf(endpoints)
+	time.Sleep(propagationTime)
+	before := totalCrashes(endpoints)
 	for range 20 {
 		send(crashingBody)
 		time.Sleep(100 * time.Millisecond)
 	}
-	if again := endsOf(endpoints) - before; again > endsAllowed {
-		t.Errorf("three endpoints had ended under the call, and %d more did", again)
+	if further := totalCrashes(endpoints) - before; further > maxFurtherCrashes {
+		t.Errorf("three endpoints had crashed under the call, and then %d more", further)
 	}
 	r := send(crashingBody)
 	if r.status != http.StatusServiceUnavailable || r.refusal.Reason != "held-back" || r.header.Get("Retry-After") == "" {
 		t.Errorf("the call got %d %q, Retry-After %q", r.status, r.refusal.Reason, r.header.Get("Retry-After"))
 	}
-	w.eventually("others are served", func() bool { return send("innocent").ok() })
+	w.eventually("other calls are served", func() bool { return send("innocent").ok() })
 }
 
 const (
-	crashingBody = "a call that ends each endpoint which begins it"
-	// knownWithin is how long after the third end all daemons may take to know.
-	knownWithin = 3 * time.Second
-	// endsAllowed is how often the call may reach endpoints after that.
-	endsAllowed = 3
-	// downFor is longer than the time in which ends of one name count once.
-	downFor = 2500 * time.Millisecond
+	crashingBody = "a call that crashes each endpoint that executes it"
+	// propagationTime is the longest time until all daemons know of the third crash.
+	propagationTime = 3 * time.Second
+	// maxFurtherCrashes is the largest number of crashes after that.
+	maxFurtherCrashes = 3
+	// downtime is the downtime after a crash. It is longer than the time within which crashes of
+	// endpoints with the same name count once.
+	downtime = 2500 * time.Millisecond
 )
 
-// crashing is a plain endpoint that a call ends; it listens again after a while.
-type crashing struct {
+// crashingEndpoint is a plain endpoint that crashes under calls with the crashingBody. It
+// listens again after downtime.
+type crashingEndpoint struct {
 	t       *testing.T
 	address string
 	mu      sync.Mutex
 	server  *http.Server
-	ends    int
-	over    bool
+	crashes int
+	closed  bool
 }
 
-func newCrashing(t *testing.T) *crashing {
+func newCrashingEndpoint(t *testing.T) *crashingEndpoint {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := &crashing{t: t, address: l.Addr().String()}
+	c := &crashingEndpoint{t: t, address: l.Addr().String()}
 	c.serve(l)
 	t.Cleanup(func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		c.over = true
+		c.closed = true
 		_ = c.server.Close()
 	})
 	return c
 }
 
-func (c *crashing) serve(l net.Listener) {
+func (c *crashingEndpoint) serve(l net.Listener) {
 	server := &http.Server{Handler: c}
 	c.mu.Lock()
 	c.server = server
@@ -100,40 +103,40 @@
 }
 
 // ServeHTTP implements http.Handler.
-func (c *crashing) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	body, _ := io.ReadAll(r.Body) // a body that is cut is not the one that counts
+func (c *crashingEndpoint) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	body, _ := io.ReadAll(r.Body) // a truncated body differs from crashingBody and is served
 	if string(body) != crashingBody {
 		_, _ = io.WriteString(w, "served")
 		return
 	}
 	c.mu.Lock()
-	c.ends++
+	c.crashes++
 	_ = c.server.Close()
 	c.mu.Unlock()
-	time.AfterFunc(downFor, c.again)
+	time.AfterFunc(downtime, c.restart)
 }
 
-func (c *crashing) again() {
+func (c *crashingEndpoint) restart() {
 	c.mu.Lock()
-	over := c.over
+	closed := c.closed
 	c.mu.Unlock()
-	if over {
+	if closed {
 		return
 	}
 	l, err := net.Listen("tcp", c.address)
 	if err != nil {
-		c.t.Logf("%s stays away: %v", c.address, err)
+		c.t.Logf("%s did not restart: %v", c.address, err)
 		return
 	}
 	c.serve(l)
 }
 
-// endsOf returns how often the endpoints have ended.
-func endsOf(list []*crashing) int {
+// totalCrashes returns the number of crashes of all endpoints.
+func totalCrashes(list []*crashingEndpoint) int {
 	n := 0
 	for _, c := range list {
 		c.mu.Lock()
-		n += c.ends
+		n += c.crashes
 		c.mu.Unlock()
 	}
 	return n
--- a/e2e/stop_test.go
+++ b/e2e/stop_test.go
@@ -10,16 +10,16 @@
 	"github.com/doorvalve/doorvalve/standin/engine"
 )
 
-// streamTokens makes a stream longer than a daemon takes to close its
-// listeners, so that only the graceful shutdown keeps it whole.
+// streamTokens is the length of a stream. A stream takes longer than a daemon
+// takes to close its listeners, so that only the graceful shutdown completes it.
 const streamTokens = 900
 
-// All daemons are replaced one after the other under traffic, with streams in
-// progress and callers that hold older address answers for their whole life.
+// All daemons are replaced one after the other during traffic. No stream in progress
+// may be cut off, also for callers that use a list of addresses until its TTL ends.
 func TestStopRollingRestartCutsNothing(t *testing.T) {
 	o := defaults()
 	o.tokenTime = 5 * time.Millisecond
-	w := newWorld(t, o)
+	w := newTestbed(t, o)
 	if _, _, r := w.daemons[0].stream("m0", "warm", 2); !r.ok() {
 		t.Fatalf("warm-up: %d %v", r.status, r.refusal)
 	}
@@ -35,13 +35,13 @@
 	for c := range 6 {
 		wg.Go(func() {
 			mu.Lock()
-			ask := procs[c%3]
+			daemon := procs[c%3]
 			mu.Unlock()
 			for n := 0; !stop.Load(); n++ {
-				a, err := w.addressesOf(ask)
+				a, err := w.addressesOf(daemon)
 				if err != nil || len(a.Addresses) == 0 {
-					mu.Lock() // this daemon is gone: ask another
-					ask = procs[(c+n)%len(procs)]
+					mu.Lock() // this daemon has stopped: use another
+					daemon = procs[(c+n)%len(procs)]
 					mu.Unlock()
 					time.Sleep(10 * time.Millisecond)
 					continue
@@ -49,7 +49,7 @@
 				until := time.Now().Add(time.Duration(a.TTLMs) * time.Millisecond)
 				for time.Now().Before(until) && !stop.Load() {
 					mu.Lock()
-					p := byAddress[a.Addresses[c%len(a.Addresses)].Address] // each daemon has callers
+					p := byAddress[a.Addresses[c%len(a.Addresses)].Address] // spreads the callers over all daemons
 					mu.Unlock()
 					prompt := fmt.Sprintf("caller %d call %d", c, n)
 					text, whole, r := p.stream("m0", prompt, streamTokens)
