--- a/driver/quotas/endpoints.go
+++ b/driver/quotas/endpoints.go
@@ -26,9 +26,9 @@
 	// maxPublishedPerSecond bounds the limits that this daemon publishes in a second: gossip
 	// sends each of them to every daemon several times. Owners learn of limits beyond it from
 	// the draws, which carry them.
-	tellMost = 20
+	maxPublishedPerSecond = 20
 	// isolatedRetry is the pause before a daemon that reaches no owner draws again.
-	unreachedPause = 200 * time.Millisecond
+	isolatedRetry = 200 * time.Millisecond
 )
 
 // Endpoints enforces the rate limits that endpoints report. While no endpoint has a limit, a request
@@ -39,57 +39,57 @@
 	shared  *sharer
 	limited atomic.Pointer[map[fleet.Incarnation]limit.Report]
 
-	settled chan struct{} // closed when the record has been read, or the time to read it is over
-	news    chan struct{} // receives a value when a limit has begun, changed or ended
+	synced       chan struct{} // closed when the record has been read, or the time to read it is over
+	limitChanged chan struct{} // receives a value when a limit has begun, changed or ended
 	// record and recorded, the rates that it holds, are used only by Run.
 	record   record.Record
 	recorded map[fleet.Incarnation]float64
 
-	mu         sync.Mutex
-	book       *limit.Tracker
-	toldFrom   time.Time      // start of the current second, for maxPublishedPerSecond
-	told       int            // limits counted in that second, including those beyond the bound
-	unreadable decisions.Once // endpoints whose limits were logged as unreadable
+	mu            sync.Mutex
+	tracker       *limit.Tracker
+	publishSecond time.Time      // start of the current second, for maxPublishedPerSecond
+	publishCount  int            // limits counted in that second, including those beyond the bound
+	unreadable    decisions.Once // endpoints whose limits were logged as unreadable
 }
 
 func newEndpoints(k *Controller) *Endpoints {
-	e := &Endpoints{opt: &k.opt, metrics: &k.metrics, book: limit.New(k.opt.Self), settled: make(chan struct{}), news: make(chan struct{}, 1), record: record.New(k.opt.Store, k.opt.Generations, recordName)}
+	e := &Endpoints{opt: &k.opt, metrics: &k.metrics, tracker: limit.New(k.opt.Self), synced: make(chan struct{}), limitChanged: make(chan struct{}, 1), record: record.New(k.opt.Store, k.opt.Generations, recordName)}
 	e.shared = newSharer(k, quotapb.Kind_ENDPOINT, "limit", limit.Bounds)
-	e.shared.newest, e.shared.unreached = e.newest, e.unreached
+	e.shared.latestLimits, e.shared.isolatedGrant = e.latestLimits, e.isolatedGrant
 	e.limited.Store(&map[fleet.Incarnation]limit.Report{})
 	return e
 }
 
 // Limit returns the limit that an endpoint has reported for requests of all daemons, and whether
 // there is one.
-func (e *Endpoints) Limit(life fleet.Incarnation) (limit.Report, bool) {
-	w, ok := (*e.limited.Load())[life]
-	return w, ok
+func (e *Endpoints) Limit(incarnation fleet.Incarnation) (limit.Report, bool) {
+	report, ok := (*e.limited.Load())[incarnation]
+	return report, ok
 }
 
 // Limited returns the limits that are in force. The map must not be changed.
 func (e *Endpoints) Limited() map[fleet.Incarnation]limit.Report { return *e.limited.Load() }
 
 // Admit counts a request against the limit of the endpoint that it is about to be sent to. If the
-// limit leaves no room, ok is false and roomIn is the time until there is room.
-func (e *Endpoints) Admit(ctx context.Context, life fleet.Incarnation, a backpressure.Request) (t Ticket, ok bool, roomIn time.Duration) {
-	w, limited := e.Limit(life)
+// limit leaves no room, ok is false and retryAfter is the time until there is room.
+func (e *Endpoints) Admit(ctx context.Context, incarnation fleet.Incarnation, req backpressure.Request) (t Ticket, ok bool, retryAfter time.Duration) {
+	report, limited := e.Limit(incarnation)
 	if !limited {
 		return Ticket{}, true, 0
 	}
-	subject := life.String()
-	if e.shared.take(ctx, claim{subject: subject, limits: w.Limits(), version: w.Version, cost: oneRequest, rank: a.Rank, waits: a.Waiter != nil, timeLeft: max(0, a.Deadline.Sub(e.opt.Clock()))}) {
+	subject := incarnation.String()
+	if e.shared.take(ctx, claim{subject: subject, limits: report.Limits(), version: report.Version, cost: oneRequest, rank: req.Rank, queued: req.Waiter != nil, timeLeft: max(0, req.Deadline.Sub(e.opt.Clock()))}) {
 		return Ticket{subject, oneRequest, e.opt.Clock()}, true, 0
 	}
 	e.metrics.heldBack.Inc(1)
-	return Ticket{}, false, max(e.shared.roomIn(subject), roomLeast)
+	return Ticket{}, false, max(e.shared.retryAfter(subject), minRetryAfter)
 }
 
 // StopWaiting notifies the owner of an endpoint's limit that a request which was held back will not
 // ask again.
-func (e *Endpoints) StopWaiting(life fleet.Incarnation) {
-	if w, limited := e.Limit(life); limited {
-		e.shared.stopWaiting(claim{subject: life.String(), limits: w.Limits(), version: w.Version})
+func (e *Endpoints) StopWaiting(incarnation fleet.Incarnation) {
+	if report, limited := e.Limit(incarnation); limited {
+		e.shared.stopWaiting(claim{subject: incarnation.String(), limits: report.Limits(), version: report.Version})
 	}
 }
 
@@ -98,76 +98,78 @@
 
 // minRetryAfter is the minimum time for which this daemon sends no requests to an endpoint without
 // room.
-const roomLeast = 20 * time.Millisecond
+const minRetryAfter = 20 * time.Millisecond
 
 // RateShare returns the rate that this daemon may count on of an endpoint's limit, in requests a
 // second; zero if no owner has granted one.
-func (e *Endpoints) RateShare(life fleet.Incarnation) float64 { return e.shared.part(life.String()) }
+func (e *Endpoints) RateShare(incarnation fleet.Incarnation) float64 {
+	return e.shared.rateShare(incarnation.String())
+}
 
 // Refund takes back the ticket of an admitted request that has not reached the endpoint.
-func (e *Endpoints) Refund(t Ticket) { e.shared.giveBack(t) }
+func (e *Endpoints) Refund(t Ticket) { e.shared.refund(t) }
 
 // ObserveReport processes the rate limit of an endpoint's answer to a request that was sent at the
 // given time. An answer without a limit ends the endpoint's limit. Answers to requests that were sent
 // before the last report arrived are ignored.
-func (e *Endpoints) ObserveReport(life fleet.Incarnation, sent time.Time, said protocol.RateLimit) {
-	if said.Unreadable != "" {
-		e.noteUnreadable(life, said)
+func (e *Endpoints) ObserveReport(incarnation fleet.Incarnation, sent time.Time, reported protocol.RateLimit) {
+	if reported.Unreadable != "" {
+		e.noteUnreadable(incarnation, reported)
 	}
-	if _, limited := e.Limit(life); !limited && !said.Present {
+	if _, limited := e.Limit(incarnation); !limited && !reported.Present {
 		return
 	}
 	now := e.opt.Clock()
 	e.mu.Lock()
-	c, changed := e.book.ObserveReport(now, sent, life, said.Rate, said.Present)
-	tell := changed && c.Publish && e.mayTell(now)
+	c, changed := e.tracker.ObserveReport(now, sent, incarnation, reported.Rate, reported.Present)
+	publish := changed && c.Publish && e.allowPublish(now)
 	if changed {
-		e.publish()
+		e.updateLimited()
 	}
 	e.mu.Unlock()
 	if !changed {
 		return
 	}
-	if tell {
+	if publish {
 		e.opt.Publish(factOf(c))
 	}
-	e.changed(now, c)
+	e.notifyChange(now, c)
 }
 
 // allowPublish counts a limit that is about to be published, and reports whether it may be by
 // maxPublishedPerSecond. The caller holds the mutex.
-func (e *Endpoints) mayTell(now time.Time) bool {
-	if now.Sub(e.toldFrom) >= time.Second {
-		e.toldFrom, e.told = now, 0
+func (e *Endpoints) allowPublish(now time.Time) bool {
+	if now.Sub(e.publishSecond) >= time.Second {
+		e.publishSecond, e.publishCount = now, 0
 	}
-	e.told++
-	return e.told <= tellMost
+	e.publishCount++
+	return e.publishCount <= maxPublishedPerSecond
 }
 
 // updateLimited makes the current limits visible to requests. The caller holds the mutex.
-func (e *Endpoints) publish() {
-	limited := e.book.Limited()
+func (e *Endpoints) updateLimited() {
+	limited := e.tracker.Limited()
 	e.limited.Store(&limited)
 	e.metrics.limited.Update(float64(len(limited)))
 }
 
 // notifyChange passes a changed limit to OnLimitChange and to Run, and logs it.
-func (e *Endpoints) changed(now time.Time, c limit.Change) {
+func (e *Endpoints) notifyChange(now time.Time, c limit.Change) {
 	if c.Before.Limited == c.Now.Limited && c.Before.Rate == c.Now.Rate {
 		return
 	}
 	e.opt.OnLimitChange(c.Incarnation, c.Now)
-	wake.Once(e.news)
+	wake.Once(e.limitChanged)
 	if c.Before.Limited != c.Now.Limited || c.Publish {
 		e.opt.Log.Info(decisions.EventEndpointLimit, "endpoint", c.Incarnation.ID, "born", c.Incarnation.StartUnixMs, "limited", c.Now.Limited, "rate", c.Now.Rate, "before", c.Before.Rate, "heard_by", c.Now.Reporter, "age_ms", now.UnixMilli()-int64(c.Now.Version))
 	}
 }
 
 // noteUnreadable counts limits that are not numbers and logs the first one of each endpoint.
-func (e *Endpoints) noteUnreadable(life fleet.Incarnation, said protocol.RateLimit) {
+func (e *Endpoints) noteUnreadable(incarnation fleet.Incarnation, reported protocol.RateLimit) {
 	e.metrics.unreadable.Inc(1)
-	if e.unreadable.First(life.ID) {
-		e.opt.Log.Warn(decisions.EventLimitUnreadable, "endpoint", life.ID, "value", said.Unreadable)
+	if e.unreadable.First(incarnation.ID) {
+		e.opt.Log.Warn(decisions.EventLimitUnreadable, "endpoint", incarnation.ID, "value", reported.Unreadable)
 	}
 }
 
@@ -181,84 +183,84 @@
 	if !strings.HasPrefix(f.Key, FactPrefix) {
 		return
 	}
-	life, word, err := readFact(f)
+	incarnation, report, err := parseFact(f)
 	if err != nil {
 		e.opt.Log.Warn(decisions.EventLimitUnreadable, "key", f.Key, "error", err)
 		return
 	}
-	e.learn(life, word)
+	e.receiveReport(incarnation, report)
 }
 
 // receiveReport takes a report of an endpoint's limit from another daemon or from the record.
-func (e *Endpoints) learn(life fleet.Incarnation, word limit.Report) {
+func (e *Endpoints) receiveReport(incarnation fleet.Incarnation, report limit.Report) {
 	now := e.opt.Clock()
 	e.mu.Lock()
-	c, changed := e.book.ReceiveReport(now, life, word)
-	e.publish()
+	c, changed := e.tracker.ReceiveReport(now, incarnation, report)
+	e.updateLimited()
 	e.mu.Unlock()
 	if changed {
 		c.Publish = true // the other daemon published it, so it is logged here too
-		e.changed(now, c)
+		e.notifyChange(now, c)
 	}
 }
 
 // maintain publishes pending limits, and drops the limits of endpoints that are not listed any
 // more.
-func (e *Endpoints) keep() {
+func (e *Endpoints) maintain() {
 	now := e.opt.Clock()
 	e.mu.Lock()
-	var untold []limit.Change
-	for _, c := range e.book.TakePending(now) {
-		if e.mayTell(now) {
-			untold = append(untold, c)
+	var pending []limit.Change
+	for _, c := range e.tracker.TakePending(now) {
+		if e.allowPublish(now) {
+			pending = append(pending, c)
 		}
 	}
-	dropped := e.book.Prune(now, e.opt.Listed)
+	dropped := e.tracker.Prune(now, e.opt.Listed)
 	if len(dropped) > 0 {
-		e.publish()
+		e.updateLimited()
 	}
 	e.mu.Unlock()
-	for _, c := range untold {
+	for _, c := range pending {
 		e.opt.Publish(factOf(c))
 	}
 	for _, c := range dropped {
-		e.changed(now, c)
+		e.notifyChange(now, c)
 	}
 }
 
-// anyLimited reports whether a limit is in force.
+// any reports whether a limit is in force.
 func (e *Endpoints) any() bool { return len(*e.limited.Load()) > 0 }
 
 // latestLimits implements sharer.latestLimits: the version is that of the endpoint's report. Newer
 // limits than this daemon's are taken over.
-func (e *Endpoints) newest(subject string, version uint64, told quota.Limits) (limits quota.Limits, none bool) {
-	life, err := fleet.ParseIncarnation(subject)
+func (e *Endpoints) latestLimits(subject string, version uint64, received quota.Limits) (limits quota.Limits, none bool) {
+	incarnation, err := fleet.ParseIncarnation(subject)
 	if err != nil {
-		return told, false
+		return received, false
 	}
 	e.mu.Lock()
-	w, known := e.book.Latest(life)
+	report, known := e.tracker.Latest(incarnation)
 	e.mu.Unlock()
-	if known && w.Version >= version {
-		return w.Limits(), !w.Limited
+	if known && report.Version >= version {
+		return report.Limits(), !report.Limited
 	}
-	e.learn(life, limit.Report{Rate: told.Rate, Limited: true, Version: version})
-	return told, false
+	e.receiveReport(incarnation, limit.Report{Rate: received.Rate, Limited: true, Version: version})
+	return received, false
 }
 
 // isolatedGrant implements sharer.isolatedGrant: a daemon that reaches no owner admits nothing. A
 // limit may be less than one request per daemon in many seconds, so no daemon can be given a share
 // of its own.
-func (e *Endpoints) unreached(time.Time, quota.Draw) quota.Grant {
-	return quota.Grant{NearLimit: true, NextDrawIn: unreachedPause, RetryAfter: unreachedPause}
+func (e *Endpoints) isolatedGrant(time.Time, quota.Draw) quota.Grant {
+	return quota.Grant{NearLimit: true, NextDrawIn: isolatedRetry, RetryAfter: isolatedRetry}
 }
 
 // Views returns the limits in force, for the state dump.
 func (e *Endpoints) Views() []LimitView {
 	list := []LimitView{}
-	for life, w := range *e.limited.Load() {
-		v := LimitView{Endpoint: life.ID, Rate: w.Rate, Reporter: w.Reporter}
-		if owned, ok := e.shared.view(life.String()); ok {
+	for incarnation, report := range *e.limited.Load() {
+		v := LimitView{Endpoint: incarnation.ID, Rate: report.Rate, Reporter: report.Reporter}
+		if owned, ok := e.shared.view(incarnation.String()); ok {
 			v.Owned = &owned
 		}
 		list = append(list, v)
@@ -287,14 +289,14 @@
 	return membership.Entry{Key: FactPrefix + c.Incarnation.String(), Version: c.Now.Version, Value: value}
 }
 
-func readFact(f membership.Entry) (fleet.Incarnation, limit.Report, error) {
-	life, err := fleet.ParseIncarnation(strings.TrimPrefix(f.Key, FactPrefix))
+func parseFact(f membership.Entry) (fleet.Incarnation, limit.Report, error) {
+	incarnation, err := fleet.ParseIncarnation(strings.TrimPrefix(f.Key, FactPrefix))
 	if err != nil {
-		return life, limit.Report{}, err
+		return incarnation, limit.Report{}, err
 	}
-	var said fact
-	if err := json.Unmarshal(f.Value, &said); err != nil {
-		return life, limit.Report{}, err
+	var reported fact
+	if err := json.Unmarshal(f.Value, &reported); err != nil {
+		return incarnation, limit.Report{}, err
 	}
-	return life, limit.Report{Rate: max(0, said.Rate), Limited: said.Limited, Version: f.Version, Reporter: said.By}, nil
+	return incarnation, limit.Report{Rate: max(0, reported.Rate), Limited: reported.Limited, Version: f.Version, Reporter: reported.By}, nil
 }
--- a/driver/quotas/fleet_test.go
+++ b/driver/quotas/fleet_test.go
@@ -28,21 +28,21 @@
 	log    *decisions.Log
 	bounds quota.Bounds
 
-	mu        sync.Mutex
-	rng       *rand.Rand
-	hosts     []*host
-	directory *workspace.Directory
-	version   uint64
-	draws     int
-	passed    map[string][]passed
-	refused   map[string]int
-	offered   map[string][]passed
-	store     *record.Store
-	heard     *generations.Tracker // of the store, shared by all daemons
+	mu          sync.Mutex
+	rng         *rand.Rand
+	hosts       []*host
+	directory   *workspace.Directory
+	version     uint64
+	draws       int
+	passed      map[string][]passed
+	refused     map[string]int
+	offered     map[string][]passed
+	store       *record.Store
+	generations *generations.Tracker // of the store, shared by all daemons
 }
 
 // storeLatency is the time that a call to the store takes.
-const storeTakes = 5 * time.Millisecond
+const storeLatency = 5 * time.Millisecond
 
 // passed is a request that was admitted, or offered.
 type passed struct {
@@ -56,35 +56,35 @@
 	name  string
 	index int
 
-	mu     sync.Mutex
-	id     string
-	lives  int
-	keeper *Controller
-	stop   context.CancelFunc
-	cut    bool      // partitioned from all other daemons
-	frozen time.Time // until when the daemon is frozen
-	goneAt time.Time // since when other daemons do not reach this one; zero while they do
-	backAt time.Time // when this daemon started
-	// settledAt is when the daemon had received the facts of the others, and full is until when
+	mu               sync.Mutex
+	id               string
+	starts           int
+	controller       *Controller
+	stop             context.CancelFunc
+	partitioned      bool      // from all other daemons
+	frozen           time.Time // until when the daemon is frozen
+	unreachableSince time.Time // since when other daemons do not reach this one; zero while they do
+	startedAt        time.Time // when this daemon started
+	// syncedAt is when the daemon had received the facts of the others, and noRoomUntil is until when
 	// it sends no requests to the endpoint, which has no room.
-	settledAt time.Time
-	full      time.Time
+	syncedAt    time.Time
+	noRoomUntil time.Time
 }
 
 // deadAfter is how long other daemons list an unreachable daemon as alive, and joinFor is how long a
 // new daemon is unknown to them.
 const (
 	deadAfter = 4 * time.Second
-	joinFor   = 200 * time.Millisecond
+	joinDelay = 200 * time.Millisecond
 )
 
 func newInstallation(hosts int, seed uint64, list ...workspace.Declaration) *installation {
 	in := &installation{
 		log: decisions.New(io.Discard, "test", hclog.Off), rng: rand.New(rand.NewPCG(seed, 0)),
 		bounds:    quota.Bounds{Window: 8 * time.Second, Overage: 0.1, Slack: 17000, NewOwnerShare: quota.DefaultNewOwnerShare},
-		directory: workspace.NewDirectory(list), version: 1, passed: map[string][]passed{}, refused: map[string]int{}, offered: map[string][]passed{}, store: &record.Store{Latency: storeTakes},
+		directory: workspace.NewDirectory(list), version: 1, passed: map[string][]passed{}, refused: map[string]int{}, offered: map[string][]passed{}, store: &record.Store{Latency: storeLatency},
 	}
-	in.heard = generations.New(in.log, tally.NoopScope)
+	in.generations = generations.New(in.log, tally.NoopScope)
 	for i := range hosts {
 		in.hosts = append(in.hosts, &host{in: in, name: fmt.Sprintf("h%d", i), index: i})
 	}
@@ -94,7 +94,7 @@
 	return in
 }
 
-func (in *installation) end() {
+func (in *installation) stop() {
 	for _, h := range in.hosts {
 		h.stop()
 	}
@@ -105,23 +105,23 @@
 func (h *host) start() {
 	ctx, cancel := context.WithCancel(context.Background())
 	h.mu.Lock()
-	h.lives++
-	h.id = fmt.Sprintf("%s-%d", h.name, h.lives)
-	h.goneAt, h.backAt = time.Time{}, time.Now()
+	h.starts++
+	h.id = fmt.Sprintf("%s-%d", h.name, h.starts)
+	h.unreachableSince, h.startedAt = time.Time{}, time.Now()
 	h.mu.Unlock()
 	k := New(Options{
 		Self: h.id, Bounds: h.in.bounds, Members: h.members, Revision: func() uint64 { return uint64(time.Now().UnixNano() / int64(100*time.Millisecond)) },
-		Directory: h.in.workspaces, Publish: h.tell, Store: h.in.store, Generations: h.in.heard, Peer: func(address string) quotapb.Quotas { return link{h, address} }, Clock: time.Now, Log: h.in.log, Metrics: tally.NoopScope,
+		Directory: h.in.workspaces, Publish: h.publishFact, Store: h.in.store, Generations: h.in.generations, Peer: func(address string) quotapb.Quotas { return link{h, address} }, Clock: time.Now, Log: h.in.log, Metrics: tally.NoopScope,
 	})
 	h.mu.Lock()
 	if h.stop != nil {
 		h.stop()
 	}
-	h.keeper, h.stop = k, cancel
-	h.full = time.Time{}
+	h.controller, h.stop = k, cancel
+	h.noRoomUntil = time.Time{}
 	h.mu.Unlock()
 	go func() { _ = k.Run(ctx) }()
-	go h.hearFacts(k)
+	go h.receiveFacts(k)
 }
 
 // factDelay bounds the time until a fact reaches most daemons, and factLate the additional time until
@@ -133,7 +133,7 @@
 )
 
 // publishFact delivers a fact to all other daemons that can be reached, to one in twenty of them late.
-func (h *host) tell(f membership.Entry) {
+func (h *host) publishFact(f membership.Entry) {
 	for _, o := range h.in.hosts {
 		if o == h {
 			continue
@@ -143,7 +143,7 @@
 			d += time.Duration(h.in.chance(int(factLate)))
 		}
 		time.AfterFunc(d, func() {
-			if k := o.current(); k != nil && !h.isCut() && !o.isCut() {
+			if k := o.current(); k != nil && !h.isPartitioned() && !o.isPartitioned() {
 				k.Endpoints().ReceiveFact(f)
 			}
 		})
@@ -151,56 +151,56 @@
 }
 
 // receiveFacts delivers the facts that the other daemons hold to a daemon that has just joined.
-func (h *host) hearFacts(k *Controller) {
-	time.Sleep(joinFor)
+func (h *host) receiveFacts(k *Controller) {
+	time.Sleep(joinDelay)
 	for _, o := range h.in.hosts {
 		other := o.current()
-		if o == h || other == nil || o.isCut() || h.isCut() {
+		if o == h || other == nil || o.isPartitioned() || h.isPartitioned() {
 			continue
 		}
-		for life, w := range other.Endpoints().Limited() {
-			k.Endpoints().ReceiveFact(factOf(limit.Change{Incarnation: life, Now: w}))
+		for incarnation, report := range other.Endpoints().Limited() {
+			k.Endpoints().ReceiveFact(factOf(limit.Change{Incarnation: incarnation, Now: report}))
 		}
 	}
 	h.mu.Lock()
-	h.settledAt = time.Now()
+	h.syncedAt = time.Now()
 	h.mu.Unlock()
 }
 
-func (h *host) isCut() bool {
+func (h *host) isPartitioned() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.cut
+	return h.partitioned
 }
 
 // kill stops the daemon without notice, and starts the next one after a pause.
 func (h *host) kill(down time.Duration) {
 	h.mu.Lock()
-	h.keeper, h.goneAt = nil, time.Now()
+	h.controller, h.unreachableSince = nil, time.Now()
 	h.mu.Unlock()
 	time.Sleep(down)
 	h.start()
 }
 
 // partition separates the daemon from all others for a while.
-func (h *host) cutOff(d time.Duration) {
+func (h *host) partition(d time.Duration) {
 	h.mu.Lock()
-	h.cut, h.goneAt = true, time.Now()
+	h.partitioned, h.unreachableSince = true, time.Now()
 	h.mu.Unlock()
 	time.Sleep(d)
 	h.mu.Lock()
-	h.cut, h.goneAt = false, time.Time{}
+	h.partitioned, h.unreachableSince = false, time.Time{}
 	h.mu.Unlock()
 }
 
 // freeze suspends the daemon for a while: it answers no peers, and takes no requests.
 func (h *host) freeze(d time.Duration) {
 	h.mu.Lock()
-	h.frozen, h.goneAt = time.Now().Add(d), time.Now()
+	h.frozen, h.unreachableSince = time.Now().Add(d), time.Now()
 	h.mu.Unlock()
 	time.Sleep(d)
 	h.mu.Lock()
-	h.goneAt = time.Time{}
+	h.unreachableSince = time.Time{}
 	h.mu.Unlock()
 }
 
@@ -210,28 +210,28 @@
 	if time.Now().Before(h.frozen) {
 		return nil
 	}
-	return h.keeper
+	return h.controller
 }
 
 // members returns the membership as this host's daemon sees it.
 func (h *host) members() []membership.Member {
 	now := time.Now()
 	h.mu.Lock()
-	cutSince := time.Time{}
-	if h.cut {
-		cutSince = h.goneAt
+	partitionedSince := time.Time{}
+	if h.partitioned {
+		partitionedSince = h.unreachableSince
 	}
 	h.mu.Unlock()
 	list := make([]membership.Member, 0, len(h.in.hosts))
 	for _, o := range h.in.hosts {
 		o.mu.Lock()
 		m := membership.Member{ID: o.id, Host: o.name, PeerAddress: fmt.Sprint(o.index), Status: membership.Alive}
-		gone, back := o.goneAt, o.backAt
+		unreachableSince, startedAt := o.unreachableSince, o.startedAt
 		o.mu.Unlock()
-		if o != h && (!gone.IsZero() && now.Sub(gone) > deadAfter || !cutSince.IsZero() && now.Sub(cutSince) > deadAfter) {
+		if o != h && (!unreachableSince.IsZero() && now.Sub(unreachableSince) > deadAfter || !partitionedSince.IsZero() && now.Sub(partitionedSince) > deadAfter) {
 			m.Status = membership.Dead
 		}
-		if o == h || now.Sub(back) > joinFor {
+		if o == h || now.Sub(startedAt) > joinDelay {
 			list = append(list, m)
 		}
 	}
@@ -264,8 +264,8 @@
 }
 
 var (
-	errCut  = errors.New("partitioned")
-	errGone = errors.New("daemon is down")
+	errPartitioned = errors.New("partitioned")
+	errDaemonDown  = errors.New("daemon is down")
 )
 
 // Draw implements quotapb.Quotas.
@@ -280,22 +280,22 @@
 	time.Sleep(time.Duration(1+in.chance(3)) * time.Millisecond)
 	for _, h := range []*host{l.from, to} {
 		h.mu.Lock()
-		silent := h.cut || time.Now().Before(h.frozen)
+		unreachable := h.partitioned || time.Now().Before(h.frozen)
 		h.mu.Unlock()
-		if silent {
+		if unreachable {
 			<-ctx.Done()
-			return nil, errCut
+			return nil, errPartitioned
 		}
 	}
 	k := to.current()
 	if k == nil {
-		return nil, errGone
+		return nil, errDaemonDown
 	}
 	return k.Draw(ctx, req)
 }
 
 // drawCount returns the number of draws so far.
-func (in *installation) drawn() int {
+func (in *installation) drawCount() int {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	return in.draws
@@ -308,11 +308,11 @@
 		return
 	}
 	directory, _ := in.workspaces()
-	came := time.Now()
+	arrivedAt := time.Now()
 	_, refusal := k.Admit(context.Background(), directory.ByName(name), cost, false)
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	in.offered[name] = append(in.offered[name], passed{came, cost})
+	in.offered[name] = append(in.offered[name], passed{arrivedAt, cost})
 	if refusal != nil {
 		in.refused[name]++
 		return
@@ -358,26 +358,26 @@
 
 // maxExcess returns by how many units the admitted ones exceed the bound, in the window with the
 // largest excess; negative if no window reaches the bound.
-func (in *installation) worst(name string, l quota.Limits) float64 {
+func (in *installation) maxExcess(name string, l quota.Limits) float64 {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	list := in.passed[name]
 	slices.SortFunc(list, func(a, b passed) int { return a.at.Compare(b.at) })
-	most := in.bounds.Slack + (1+in.bounds.Overage)*(l.Rate*in.bounds.Window.Seconds()+l.Burst)
-	worst, sum, from := -most, 0.0, 0
+	allowed := in.bounds.Slack + (1+in.bounds.Overage)*(l.Rate*in.bounds.Window.Seconds()+l.Burst)
+	worst, sum, from := -allowed, 0.0, 0
 	for _, p := range list {
 		sum += p.cost
 		for p.at.Sub(list[from].at) > in.bounds.Window {
 			sum -= list[from].cost
 			from++
 		}
-		worst = max(worst, sum-most)
+		worst = max(worst, sum-allowed)
 	}
 	return worst
 }
 
 // admittedBetween returns the units that were admitted in a period.
-func (in *installation) between(name string, from, to time.Time) float64 {
+func (in *installation) admittedBetween(name string, from, to time.Time) float64 {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	sum := 0.0
--- a/driver/quotas/metrics_test.go
+++ b/driver/quotas/metrics_test.go
@@ -17,10 +17,10 @@
 func TestCountersOfWorkspacesAreBounded(t *testing.T) {
 	scope := tally.NewTestScope("", nil)
 	k := New(Options{Self: "a", Members: func() []membership.Member { return nil }, Log: decisions.New(io.Discard, "test", hclog.Off), Metrics: scope})
-	const workspaces, rounds = 3 * tagged, 2
+	const workspaces, rounds = 3 * maxTagged, 2
 	for range rounds {
 		for i := range workspaces {
-			d := declared("workspace-"+strconv.Itoa(i), 1, 1)
+			d := declaration("workspace-"+strconv.Itoa(i), 1, 1)
 			_ = k.workspaces.refuse(&d.Workspace, 1)
 		}
 	}
@@ -32,7 +32,7 @@
 		own++
 		sum += c.Value()
 	}
-	if own != tagged+1 || sum != workspaces*rounds {
-		t.Errorf("%d refusals in %d counters, want %d in %d and one for the others", sum, own, workspaces*rounds, tagged)
+	if own != maxTagged+1 || sum != workspaces*rounds {
+		t.Errorf("%d refusals in %d counters, want %d in %d and one for the others", sum, own, workspaces*rounds, maxTagged)
 	}
 }
--- a/driver/quotas/quotas.go
+++ b/driver/quotas/quotas.go
@@ -32,14 +32,14 @@
 	// the owner's place. It is shorter than drawTimeout, within which the first daemon waits.
 	forwardTimeout = 60 * time.Millisecond
 	// unresponsiveFor is how long a daemon that did not answer a draw is skipped as an owner.
-	silentFor = 400 * time.Millisecond
+	unresponsiveFor = 400 * time.Millisecond
 	// refreshInterval is the interval at which pending limits are published and the members
 	// are read again.
-	tick = 500 * time.Millisecond
+	refreshInterval = 500 * time.Millisecond
 	// idleInterval is the additional pause while no quota and no limit is in force.
-	restTick = time.Second
+	idleInterval = time.Second
 	// maxDrawTargets bounds the daemons that are asked one after the other for one draw.
-	ownersAsked = 2
+	maxDrawTargets = 2
 )
 
 // Options configure a Controller. Functions must be safe for concurrent use.
@@ -75,7 +75,7 @@
 type Controller struct {
 	opt        Options
 	metrics    metrics
-	fleet      roster
+	roster     roster
 	workspaces *workspaces
 	endpoints  *Endpoints
 }
@@ -104,8 +104,8 @@
 		draws: m.Counter("draws_total"), failed: m.Counter("draws_failed_total"), forwarded: m.Counter("draws_forwarded_total"), refused: m.Counter("requests_refused_total"),
 		heldBack: l.Counter("requests_held_back_total"), unreadable: l.Counter("unreadable_total"), limited: l.Gauge("endpoints_limited"),
 	}}
-	k.fleet.opt, k.fleet.started = &k.opt, opt.Clock()
-	k.fleet.silent, k.fleet.seen, k.fleet.ranked = map[string]time.Time{}, map[string]time.Time{}, map[string][]membership.Member{}
+	k.roster.opt, k.roster.started = &k.opt, opt.Clock()
+	k.roster.unresponsive, k.roster.lastAlive, k.roster.ranked = map[string]time.Time{}, map[string]time.Time{}, map[string][]membership.Member{}
 	k.workspaces, k.endpoints = newWorkspaces(k), newEndpoints(k)
 	return k
 }
@@ -125,18 +125,18 @@
 // changes of the membership until ctx ends. It runs less often while no quota and no limit is in
 // force.
 func (k *Controller) Run(ctx context.Context) error {
-	k.endpoints.readFirst(ctx)
+	k.endpoints.readAtStart(ctx)
 	for ctx.Err() == nil {
-		pause.Until(ctx, time.Now().Add(tick), k.endpoints.news)
-		k.endpoints.keep()
-		k.endpoints.keepRecord(ctx)
+		pause.Until(ctx, time.Now().Add(refreshInterval), k.endpoints.limitChanged)
+		k.endpoints.maintain()
+		k.endpoints.syncRecord(ctx)
 		if directory, _ := k.opt.Directory(); !directory.RequiresKey() && !k.endpoints.any() {
-			pause.Until(ctx, time.Now().Add(restTick), k.endpoints.news)
+			pause.Until(ctx, time.Now().Add(idleInterval), k.endpoints.limitChanged)
 			continue
 		}
-		k.fleet.look()
-		k.workspaces.shared.forget()
-		k.endpoints.shared.forget()
+		k.roster.refresh()
+		k.workspaces.shared.expire()
+		k.endpoints.shared.expire()
 	}
 	return nil
 }
--- a/driver/quotas/quotas_test.go
+++ b/driver/quotas/quotas_test.go
@@ -22,16 +22,16 @@
 	runs      = flag.Int("quotas.runs", 6, "runs with random faults")
 )
 
-func declared(name string, rate, burst float64) workspace.Declaration {
+func declaration(name string, rate, burst float64) workspace.Declaration {
 	return workspace.Declaration{Workspace: workspace.Workspace{Name: name, Quota: workspace.Quota{Unit: workspace.Tokens, Rate: rate, Burst: burst, DefaultTokens: 200}}}
 }
 
-func steady(rate float64) func(time.Duration) float64 {
+func steadyLoad(rate float64) func(time.Duration) float64 {
 	return func(time.Duration) float64 { return rate }
 }
 
 // stepLoad returns a load that changes once.
-func turning(first, then float64, after time.Duration) func(time.Duration) float64 {
+func stepLoad(first, then float64, after time.Duration) func(time.Duration) float64 {
 	return func(at time.Duration) float64 {
 		if at < after {
 			return first
@@ -56,23 +56,23 @@
 				}{{"large", 270_000 * scale, 0.55}, {"small", 4_200, 0.55}, {"hot", 100_000 * scale, 4}}
 				list := []workspace.Declaration{}
 				for _, l := range loads {
-					list = append(list, declared(l.name, l.limit, l.limit))
+					list = append(list, declaration(l.name, l.limit, l.limit))
 				}
 				in := newInstallation(daemons, 1, list...)
-				defer in.end()
+				defer in.stop()
 				time.Sleep(5 * time.Second)
 				for _, l := range loads {
-					go in.send(load{name: l.name, rate: turning(l.limit*0.55, l.limit*l.sends, 10*time.Second)}, 30*time.Second)
+					go in.send(load{name: l.name, rate: stepLoad(l.limit*0.55, l.limit*l.sends, 10*time.Second)}, 30*time.Second)
 				}
 				time.Sleep(32 * time.Second)
 				for _, l := range loads {
 					limits := quota.Limits{Rate: l.limit, Burst: l.limit}
 					central, through := in.central(l.name, limits)
-					t.Logf("%s: admitted %.3f of what one central bucket admits, refused %d of %d requests, worst window %.0f units below the bound", l.name, through/central.units, in.refused[l.name], len(in.offered[l.name]), -in.worst(l.name, limits))
+					t.Logf("%s: admitted %.3f of what one central bucket admits, refused %d of %d requests, worst window %.0f units below the bound", l.name, through/central.units, in.refused[l.name], len(in.offered[l.name]), -in.maxExcess(l.name, limits))
 					if through < 0.99*central.units {
 						t.Errorf("%s: admitted %.3f of what one central bucket admits, want at least 0.99", l.name, through/central.units)
 					}
-					if over := in.worst(l.name, limits); over > 0 {
+					if over := in.maxExcess(l.name, limits); over > 0 {
 						t.Errorf("%s: admitted %.0f units more than the bound in a window", l.name, over)
 					}
 					if n := in.refused[l.name]; l.sends < 1 && n > central.refused {
@@ -90,23 +90,23 @@
 func TestChangedQuotaBinds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const sends, low = 60_000, 20_000
-		in := newInstallation(20, 1, declared("w", 100_000, 100_000))
-		defer in.end()
+		in := newInstallation(20, 1, declaration("w", 100_000, 100_000))
+		defer in.stop()
 		time.Sleep(5 * time.Second)
-		go in.send(load{name: "w", rate: steady(sends)}, 40*time.Second)
+		go in.send(load{name: "w", rate: steadyLoad(sends)}, 40*time.Second)
 		time.Sleep(10 * time.Second)
-		in.declare(declared("w", low, low))
+		in.declare(declaration("w", low, low))
 		time.Sleep(in.bounds.Window)
 		lowered := time.Now()
 		time.Sleep(10 * time.Second)
 		raised := time.Now()
-		in.declare(declared("w", 100_000, 100_000))
+		in.declare(declaration("w", 100_000, 100_000))
 		time.Sleep(10 * time.Second)
 		limits := quota.Limits{Rate: low, Burst: low}
-		if over := in.between("w", lowered, raised) - in.bounds.Slack - 1.1*(limits.Rate*10+limits.Burst); over > 0 {
+		if over := in.admittedBetween("w", lowered, raised) - in.bounds.Slack - 1.1*(limits.Rate*10+limits.Burst); over > 0 {
 			t.Errorf("admitted %.0f units too many while the quota was low", over)
 		}
-		if got := in.between("w", raised.Add(2*time.Second), raised.Add(8*time.Second)); got < 0.95*6*sends {
+		if got := in.admittedBetween("w", raised.Add(2*time.Second), raised.Add(8*time.Second)); got < 0.95*6*sends {
 			t.Errorf("admitted %.0f of %d units after the quota was raised", got, 6*sends)
 		}
 	})
@@ -118,7 +118,7 @@
 func TestQuotasHoldUnderRandomHarms(t *testing.T) {
 	sum := 0.0
 	for seed := *firstSeed; seed < *firstSeed+uint64(*runs); seed++ {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { synctest.Test(t, func(t *testing.T) { sum += randomHarms(t, seed) }) })
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { synctest.Test(t, func(t *testing.T) { sum += randomFaults(t, seed) }) })
 	}
 	// The mean over a few runs varies too much to be checked: over 100 and 200 runs it is 0.942 to
 	// 0.953, over the six runs of CI 0.947 to 0.96. With few runs only the bound of each is checked.
@@ -138,35 +138,35 @@
 //   - a partitioned daemon kept its recent share, although the others used that share as well.
 func TestQuotaHoldsWhereMemoryIsLostAgainAndAgain(t *testing.T) {
 	for _, seed := range []uint64{108, 118, 5049, 5247, 5252} {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { synctest.Test(t, func(t *testing.T) { randomHarms(t, seed) }) })
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { synctest.Test(t, func(t *testing.T) { randomFaults(t, seed) }) })
 	}
 }
 
 // meanRuns is the minimum number of runs for which the mean over them is checked.
 const meanRuns = 100
 
-const harmsFor = 40 * time.Second
+const faultsFor = 40 * time.Second
 
 // randomFaults returns the admitted units as a fraction of those that one central bucket would have
 // admitted.
-func randomHarms(t *testing.T, seed uint64) float64 {
+func randomFaults(t *testing.T, seed uint64) float64 {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	daemons := []int{7, 20, 71}[rng.IntN(3)]
 	limits := quota.Limits{Rate: []float64{4_200, 40_000, 270_000}[rng.IntN(3)]}
 	limits.Burst = limits.Rate * []float64{1, 3.6}[rng.IntN(2)]
-	in := newInstallation(daemons, seed, declared("w", limits.Rate, limits.Burst))
-	defer in.end()
+	in := newInstallation(daemons, seed, declaration("w", limits.Rate, limits.Burst))
+	defer in.stop()
 	time.Sleep(5 * time.Second)
-	harms := []string{}
-	go in.send(load{name: "w", rate: waves(rng, limits.Rate), hosts: gathered(rng, in.hosts)}, harmsFor)
-	for start := time.Now(); time.Since(start) < harmsFor-5*time.Second; {
-		harms = append(harms, in.harm(rng, "quota/w"))
+	faults := []string{}
+	go in.send(load{name: "w", rate: varyingLoad(rng, limits.Rate), hosts: targetHosts(rng, in.hosts)}, faultsFor)
+	for start := time.Now(); time.Since(start) < faultsFor-5*time.Second; {
+		faults = append(faults, in.injectFault(rng, "quota/w"))
 		time.Sleep(time.Duration(1000+rng.IntN(7000)) * time.Millisecond)
 	}
 	time.Sleep(15 * time.Second)
 	central, through := in.central("w", limits)
-	t.Logf("%d daemons, %.0f units a second, burst %.0f: admitted %.3f of what one central bucket admits, worst window %.0f units below the bound; faults %v", daemons, limits.Rate, limits.Burst, through/central.units, -in.worst("w", limits), harms)
-	if over := in.worst("w", limits); over > 0 {
+	t.Logf("%d daemons, %.0f units a second, burst %.0f: admitted %.3f of what one central bucket admits, worst window %.0f units below the bound; faults %v", daemons, limits.Rate, limits.Burst, through/central.units, -in.maxExcess("w", limits), faults)
+	if over := in.maxExcess("w", limits); over > 0 {
 		t.Errorf("admitted %.0f units more than the bound in a window", over)
 	}
 	return through / central.units
@@ -174,8 +174,8 @@
 
 // varyingLoad returns a load that changes every few seconds, between a fraction and a multiple of a
 // rate.
-func waves(rng *rand.Rand, rate float64) func(time.Duration) float64 {
-	steps := make([]float64, harmsFor/(4*time.Second)+1)
+func varyingLoad(rng *rand.Rand, rate float64) func(time.Duration) float64 {
+	steps := make([]float64, faultsFor/(4*time.Second)+1)
 	for i := range steps {
 		steps[i] = rate * []float64{0.3, 0.55, 0.55, 1.5, 4}[rng.IntN(5)]
 	}
@@ -183,7 +183,7 @@
 }
 
 // targetHosts returns the hosts that callers send to: all, or a fifth of them.
-func gathered(rng *rand.Rand, hosts []*host) []*host {
+func targetHosts(rng *rand.Rand, hosts []*host) []*host {
 	if rng.IntN(2) == 0 {
 		return hosts
 	}
@@ -192,11 +192,11 @@
 
 // injectFault causes a random fault of some daemons, or of the owner of the subject of a key, and
 // returns the name of the fault.
-func (in *installation) harm(rng *rand.Rand, key string) string {
-	some := func(part float64) []*host {
+func (in *installation) injectFault(rng *rand.Rand, key string) string {
+	some := func(share float64) []*host {
 		list := slices.Clone(in.hosts)
 		rng.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
-		return list[:max(1, int(part*float64(len(list))))]
+		return list[:max(1, int(share*float64(len(list))))]
 	}
 	down := time.Duration(200+rng.IntN(2000)) * time.Millisecond
 	switch rng.IntN(6) {
@@ -212,7 +212,7 @@
 		return "a third stops"
 	case 2:
 		for _, h := range some(0.1) {
-			go h.cutOff(2 * down)
+			go h.partition(2 * down)
 		}
 		return "a tenth is partitioned"
 	case 3:
@@ -239,9 +239,9 @@
 // late that other requests use them in a later window, in addition to its own units.
 func TestWhatIsGivenBackLateIsUsed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := declared("w", 1000, 1000)
+		w := declaration("w", 1000, 1000)
 		in := newInstallation(1, 1, w)
-		defer in.end()
+		defer in.stop()
 		in.bounds.Slack = 0
 		time.Sleep(20 * time.Second)
 		k := in.hosts[0].current()
@@ -265,8 +265,8 @@
 			ran += len(all())
 		}
 		limits := quota.Limits{Rate: 1000, Burst: 1000}
-		if most := (1 + in.bounds.Overage) * (limits.Rate*in.bounds.Window.Seconds()/2 + limits.Burst); float64(ran*100) > most {
-			t.Errorf("%d units ran in half a window, including those held before, want at most %.0f", ran*100, most)
+		if allowed := (1 + in.bounds.Overage) * (limits.Rate*in.bounds.Window.Seconds()/2 + limits.Burst); float64(ran*100) > allowed {
+			t.Errorf("%d units ran in half a window, including those held before, want at most %.0f", ran*100, allowed)
 		}
 		now := all()
 		for _, ticket := range now {
--- a/driver/quotas/record.go
+++ b/driver/quotas/record.go
@@ -28,7 +28,7 @@
 	// endpoint's first answer.
 	recordChange = 0.25
 	// maxRecorded bounds the limits of the record.
-	recordMost = 1024
+	maxRecorded = 1024
 )
 
 // limitsRecord is the object in the store.
@@ -47,17 +47,17 @@
 // its start.
 func (e *Endpoints) WaitSynced(ctx context.Context) {
 	select {
-	case <-e.settled:
+	case <-e.synced:
 	default:
-		pause.Until(ctx, time.Now().Add(joinWithin-e.opt.Clock().Sub(e.shared.fleet.started)), e.settled)
+		pause.Until(ctx, time.Now().Add(joinTimeout-e.opt.Clock().Sub(e.shared.roster.started)), e.synced)
 	}
 }
 
 // readAtStart reads the record, and tries again until joinTimeout has passed since the start of
 // this daemon. It closes synced.
-func (e *Endpoints) readFirst(ctx context.Context) {
-	defer close(e.settled)
-	for e.record.HasStore() && ctx.Err() == nil && e.opt.Clock().Sub(e.shared.fleet.started) < joinWithin {
+func (e *Endpoints) readAtStart(ctx context.Context) {
+	defer close(e.synced)
+	for e.record.HasStore() && ctx.Err() == nil && e.opt.Clock().Sub(e.shared.roster.started) < joinTimeout {
 		err := e.readRecord(ctx)
 		if err == nil {
 			return
@@ -69,7 +69,7 @@
 
 // syncRecord writes the record, if it is out of date and this daemon is its writer. If the content
 // of the store is not known, as after a conflict or a restore, it reads the record first.
-func (e *Endpoints) keepRecord(ctx context.Context) {
+func (e *Endpoints) syncRecord(ctx context.Context) {
 	if !e.record.Due(e.opt.Clock()) {
 		return
 	}
@@ -94,9 +94,9 @@
 	if len(limited) != len(recorded) {
 		return true
 	}
-	for life, w := range limited {
-		rate, ok := recorded[life]
-		if !ok || max(rate-w.Rate, w.Rate-rate) > recordChange*rate {
+	for incarnation, report := range limited {
+		rate, ok := recorded[incarnation]
+		if !ok || max(rate-report.Rate, report.Rate-rate) > recordChange*rate {
 			return true
 		}
 	}
@@ -110,9 +110,9 @@
 	}
 	e.recorded = map[fleet.Incarnation]float64{}
 	for _, l := range rec.Limits {
-		life := fleet.Incarnation{ID: l.Endpoint, StartUnixMs: l.Born}
-		e.recorded[life] = l.Rate
-		e.learn(life, limit.Report{Rate: max(0, l.Rate), Limited: true, Version: l.Version, Reporter: recordName})
+		incarnation := fleet.Incarnation{ID: l.Endpoint, StartUnixMs: l.Born}
+		e.recorded[incarnation] = l.Rate
+		e.receiveReport(incarnation, limit.Report{Rate: max(0, l.Rate), Limited: true, Version: l.Version, Reporter: recordName})
 	}
 	if len(rec.Limits) > 0 {
 		e.opt.Log.Info(decisions.EventLimitsRecord, "read", true, "limited", len(rec.Limits), "version", e.record.Version())
@@ -123,11 +123,11 @@
 func (e *Endpoints) writeRecord(ctx context.Context, limited map[fleet.Incarnation]limit.Report) error {
 	recorded := make(map[fleet.Incarnation]float64, len(limited))
 	var rec limitsRecord
-	for _, life := range slices.SortedFunc(maps.Keys(limited), func(a, b fleet.Incarnation) int { return cmp.Compare(a.ID, b.ID) }) {
-		w := limited[life]
-		recorded[life] = w.Rate
-		if len(rec.Limits) < recordMost {
-			rec.Limits = append(rec.Limits, recordedLimit{life.ID, life.StartUnixMs, w.Rate, w.Version})
+	for _, incarnation := range slices.SortedFunc(maps.Keys(limited), func(a, b fleet.Incarnation) int { return cmp.Compare(a.ID, b.ID) }) {
+		report := limited[incarnation]
+		recorded[incarnation] = report.Rate
+		if len(rec.Limits) < maxRecorded {
+			rec.Limits = append(rec.Limits, recordedLimit{incarnation.ID, incarnation.StartUnixMs, report.Rate, report.Version})
 		}
 	}
 	written, err := e.record.Write(ctx, e.opt.Clock(), rec)
--- a/driver/quotas/serve.go
+++ b/driver/quotas/serve.go
@@ -17,7 +17,7 @@
 	defer cancel()
 	resp, err := s.opt.Peer(m.PeerAddress).Draw(ctx, &quotapb.DrawRequest{
 		Daemon: d.Daemon, Subject: d.Subject, Kind: s.kind, Version: version, Rate: d.Limits.Rate, Burst: d.Limits.Burst, Need: d.Need, Waiting: int32(d.Waiting), Rank: int32(d.Rank), LeftMs: d.TimeLeft.Milliseconds(), Waits: d.Queued, Used: d.Used,
-		Offered: d.Offered, Requests: int32(d.Requests), Elsewhere: pastToWire(d.OtherGrants), Summary: summaryToWire(d.Summary), Inform: d.WantSummary, Forwarded: forwarded,
+		Offered: d.Offered, Requests: int32(d.Requests), Elsewhere: pastGrantsToWire(d.OtherGrants), Summary: summaryToWire(d.Summary), Inform: d.WantSummary, Forwarded: forwarded,
 	})
 	if err != nil {
 		return quota.Grant{}, "", err
@@ -26,16 +26,16 @@
 }
 
 // errInvalidCount rejects draws with counts that no daemon sends.
-var errCount = errors.New("counts of a draw must be numbers of at least 0")
+var errInvalidCount = errors.New("counts of a draw must be numbers of at least 0")
 
 // Draw implements quotapb.Quotas.
 func (k *Controller) Draw(_ context.Context, req *quotapb.DrawRequest) (*quotapb.DrawResponse, error) {
 	for _, count := range []float64{req.Need, req.Used, req.Offered, req.Rate, req.Burst} {
 		if !(count >= 0 && count <= math.MaxFloat64) {
-			return nil, errCount
+			return nil, errInvalidCount
 		}
 	}
-	k.fleet.heard()
+	k.roster.notePeerContact()
 	shared := k.workspaces.shared
 	if req.Kind == quotapb.Kind_ENDPOINT {
 		shared = k.endpoints.shared
@@ -47,33 +47,33 @@
 // forwards the draw, since the asking daemon may be partitioned from the owner. If the owner does not
 // answer, this daemon answers in its place.
 func (s *sharer) answer(req *quotapb.DrawRequest) *quotapb.DrawResponse {
-	limits, none := s.newest(req.Subject, req.Version, quota.Limits{Rate: req.Rate, Burst: req.Burst})
+	limits, none := s.latestLimits(req.Subject, req.Version, quota.Limits{Rate: req.Rate, Burst: req.Burst})
 	if none {
 		return toWire(quota.Grant{Units: req.Need}, s.opt.Self)
 	}
 	d := quota.Draw{
 		Daemon: req.Daemon, Subject: req.Subject, Limits: limits, Need: req.Need, Waiting: int(req.Waiting), Rank: int(req.Rank), TimeLeft: time.Duration(req.LeftMs) * time.Millisecond, Queued: req.Waits, Used: req.Used, Offered: req.Offered, Requests: int(req.Requests),
-		OtherGrants: pastFromWire(req.Elsewhere), Summary: summaryFromWire(req.Summary), WantSummary: req.Inform,
+		OtherGrants: pastGrantsFromWire(req.Elsewhere), Summary: summaryFromWire(req.Summary), WantSummary: req.Inform,
 	}
 	if !req.Forwarded {
 		if g, owner, ok := s.forward(d, req.Version); ok {
 			return toWire(g, owner)
 		}
 	}
-	return toWire(s.own(d, s.fleet.part()), s.opt.Self)
+	return toWire(s.ownerDraw(d, s.roster.ownerShare()), s.opt.Self)
 }
 
 // forward forwards a draw to the owner by this daemon's view. It reports false if that is this
 // daemon itself, or if the owner has not answered.
 func (s *sharer) forward(d quota.Draw, version uint64) (quota.Grant, string, bool) {
-	owners := s.fleet.owners(s.key(d.Subject), 1)
+	owners := s.roster.owners(s.key(d.Subject), 1)
 	if len(owners) == 0 || owners[0].ID == s.opt.Self {
 		return quota.Grant{}, "", false
 	}
 	s.metrics.forwarded.Inc(1)
 	g, owner, err := s.draw(owners[0], d, version, forwardTimeout, true)
 	if err != nil {
-		s.fleet.failed(owners[0].ID)
+		s.roster.markUnresponsive(owners[0].ID)
 	}
 	return g, owner, err == nil
 }
@@ -82,7 +82,7 @@
 	return &quotapb.DrawResponse{Units: g.Units, Ahead: g.Allowance, AgainMs: g.NextDrawIn.Milliseconds(), RoomInMs: g.RetryAfter.Milliseconds(), Over: g.NearLimit, Spare: g.SpareRate, Part: g.RateShare, Owner: owner, Summary: summaryToWire(g.Summary)}
 }
 
-func pastToWire(list []quota.PastGrant) []*quotapb.Past {
+func pastGrantsToWire(list []quota.PastGrant) []*quotapb.Past {
 	out := make([]*quotapb.Past, len(list))
 	for i, p := range list {
 		out[i] = &quotapb.Past{AgeMs: p.Age.Milliseconds(), Units: p.Units, Owner: p.Owner}
@@ -90,7 +90,7 @@
 	return out
 }
 
-func pastFromWire(list []*quotapb.Past) []quota.PastGrant {
+func pastGrantsFromWire(list []*quotapb.Past) []quota.PastGrant {
 	out := make([]quota.PastGrant, 0, len(list))
 	for _, p := range list {
 		if p.GetUnits() > 0 && p.GetUnits() <= math.MaxFloat64 && p.GetAgeMs() >= 0 {
--- a/driver/quotas/sharer.go
+++ b/driver/quotas/sharer.go
@@ -17,19 +17,19 @@
 	kind    quotapb.Kind
 	name    string // of the kind, in logs and in the keys by which owners are ranked
 	opt     *Options
-	fleet   *roster
+	roster  *roster
 	metrics *metrics
 	bounds  quota.Bounds
 	// latestLimits returns the newer limits of a subject: those that a draw carries, which have
 	// the given version, or those that this daemon holds. none reports that there is no limit
 	// any more.
-	newest func(subject string, version uint64, told quota.Limits) (limits quota.Limits, none bool)
+	latestLimits func(subject string, version uint64, received quota.Limits) (limits quota.Limits, none bool)
 	// isolatedGrant returns the grant that this daemon uses while it reaches no owner.
-	unreached func(now time.Time, d quota.Draw) quota.Grant
+	isolatedGrant func(now time.Time, d quota.Draw) quota.Grant
 
-	mu     sync.Mutex
-	client *quota.Client
-	flight map[string]*flight
+	mu      sync.Mutex
+	client  *quota.Client
+	flights map[string]*flight
 
 	ownMu sync.Mutex
 	owner *quota.Owner
@@ -38,12 +38,12 @@
 // flight is a draw on behalf of several requests. Requests join it until it is sent; later ones
 // wait for the next flight of the subject.
 type flight struct {
-	need    float64
-	waiting int
-	first   claim // the most urgent one, by claim.before
-	left    bool  // the draw has been sent; no more requests may join
-	done    chan struct{}
-	next    *flight
+	need       float64
+	waiting    int
+	mostUrgent claim // by claim.before
+	sent       bool  // the draw has been sent; no more requests may join
+	done       chan struct{}
+	next       *flight
 }
 
 // claim asks for units of a subject's rate on behalf of one request.
@@ -56,7 +56,7 @@
 	late    bool // the request has missed its latency objective already
 	// queued says that the request asks again until it is admitted, and that its cost was counted
 	// as offered before; timeLeft is the time until its caller gives up.
-	waits    bool
+	queued   bool
 	timeLeft time.Duration
 }
 
@@ -68,8 +68,8 @@
 
 func newSharer(k *Controller, kind quotapb.Kind, name string, bounds quota.Bounds) *sharer {
 	return &sharer{
-		kind: kind, name: name, opt: &k.opt, fleet: &k.fleet, metrics: &k.metrics, bounds: bounds,
-		client: quota.NewClient(k.opt.Self, bounds), owner: quota.NewOwner(k.opt.Self, bounds, k.opt.Clock()), flight: map[string]*flight{},
+		kind: kind, name: name, opt: &k.opt, roster: &k.roster, metrics: &k.metrics, bounds: bounds,
+		client: quota.NewClient(k.opt.Self, bounds), owner: quota.NewOwner(k.opt.Self, bounds, k.opt.Clock()), flights: map[string]*flight{},
 	}
 }
 
@@ -79,12 +79,12 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.opt.Clock()
-	if !c.waits {
+	if !c.queued {
 		s.client.Offer(now, c.subject, c.cost)
 	}
 	verdict := s.client.Take(now, c.subject, c.cost, c.late)
 	if verdict == quota.AskOwner {
-		f := s.join(c)
+		f := s.joinFlight(c)
 		s.mu.Unlock()
 		select {
 		case <-f.done:
@@ -97,39 +97,39 @@
 }
 
 // addRefusal records a refusal, and returns the time until a retry is worthwhile for its caller.
-func (s *sharer) refused(subject string, cost float64) time.Duration {
+func (s *sharer) addRefusal(subject string, cost float64) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.client.AddRefusal(s.opt.Clock(), subject, cost)
 }
 
 // retryAfter returns the time until there is room for one more request.
-func (s *sharer) roomIn(subject string) time.Duration {
+func (s *sharer) retryAfter(subject string) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.client.RetryAfter(s.opt.Clock(), subject)
 }
 
 // rateShare returns the rate that this daemon may count on of a subject's rate, in units a second.
-func (s *sharer) part(subject string) float64 {
+func (s *sharer) rateShare(subject string) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.client.RateShare(subject)
 }
 
 // refundShare is the share of a window within which the units of a request can be refunded.
-const returnPart = 1.0 / 16
+const refundShare = 1.0 / 16
 
 // refund takes back the units of an admitted request that has not run. Units that were held for
 // longer than refundShare of a window count as used: the owner counted them in the window in which
 // the request was admitted, and other requests would use them in a later window that does not
 // include them.
-func (s *sharer) giveBack(t Ticket) {
+func (s *sharer) refund(t Ticket) {
 	if t.cost <= 0 {
 		return
 	}
 	now := s.opt.Clock()
-	if s.bounds.Window > 0 && now.Sub(t.at) > time.Duration(returnPart*float64(s.bounds.Window)) {
+	if s.bounds.Window > 0 && now.Sub(t.at) > time.Duration(refundShare*float64(s.bounds.Window)) {
 		return
 	}
 	s.mu.Lock()
@@ -139,21 +139,21 @@
 
 // joinFlight adds a claim to the next draw for its subject, and starts that draw if none is under
 // way. The caller holds the mutex.
-func (s *sharer) join(c claim) *flight {
-	f := s.flight[c.subject]
+func (s *sharer) joinFlight(c claim) *flight {
+	f := s.flights[c.subject]
 	switch {
 	case f == nil:
 		f = &flight{done: make(chan struct{})}
-		s.flight[c.subject] = f
-		go s.fly(c, f)
-	case f.left:
+		s.flights[c.subject] = f
+		go s.runFlights(c, f)
+	case f.sent:
 		if f.next == nil {
 			f.next = &flight{done: make(chan struct{})}
 		}
 		f = f.next
 	}
-	if f.waiting == 0 || c.before(f.first) {
-		f.first = c
+	if f.waiting == 0 || c.before(f.mostUrgent) {
+		f.mostUrgent = c
 	}
 	f.need += c.cost
 	f.waiting++
@@ -162,16 +162,16 @@
 
 // runFlights draws for the requests of a flight, and for those that arrive meanwhile, until none
 // wait.
-func (s *sharer) fly(c claim, f *flight) {
+func (s *sharer) runFlights(c claim, f *flight) {
 	for f != nil {
-		s.ask(c, f)
+		s.drawFor(c, f)
 		s.mu.Lock()
 		close(f.done)
 		f = f.next
 		if f == nil {
-			delete(s.flight, c.subject)
+			delete(s.flights, c.subject)
 		} else {
-			s.flight[c.subject] = f
+			s.flights[c.subject] = f
 		}
 		s.mu.Unlock()
 	}
@@ -179,26 +179,26 @@
 
 // drawFor draws from the owner of a subject, or from the next daemons in rank if it does not
 // answer. If none answers it uses isolatedGrant.
-func (s *sharer) ask(c claim, f *flight) {
-	s.fleet.join()
+func (s *sharer) drawFor(c claim, f *flight) {
+	s.roster.waitForPeers()
 	key := s.key(c.subject)
-	for _, m := range s.fleet.toAsk(key) {
-		d := s.begin(c, m.ID, f)
+	for _, m := range s.roster.drawTargets(key) {
+		d := s.beginDraw(c, m.ID, f)
 		if m.ID == s.opt.Self {
-			s.granted(c.subject, m.ID, s.own(d, s.fleet.part()))
+			s.receiveGrant(c.subject, m.ID, s.ownerDraw(d, s.roster.ownerShare()))
 			return
 		}
 		s.metrics.draws.Inc(1)
 		g, owner, err := s.draw(m, d, c.version, drawTimeout, false)
 		if err == nil {
-			s.fleet.heard()
-			s.granted(c.subject, owner, g)
+			s.roster.notePeerContact()
+			s.receiveGrant(c.subject, owner, g)
 			return
 		}
-		s.fail(c.subject, m, err)
+		s.drawFailed(c.subject, m, err)
 	}
-	d := s.begin(c, s.opt.Self, f)
-	s.granted(c.subject, s.opt.Self, s.unreached(s.opt.Clock(), d))
+	d := s.beginDraw(c, s.opt.Self, f)
+	s.receiveGrant(c.subject, s.opt.Self, s.isolatedGrant(s.opt.Clock(), d))
 }
 
 // stopWaiting notifies the owner that a queued claim does not wait any more, so that the owner does
@@ -207,14 +207,14 @@
 func (s *sharer) stopWaiting(c claim) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	f := s.flight[c.subject]
+	f := s.flights[c.subject]
 	switch {
 	case f == nil:
-		f = &flight{first: c, done: make(chan struct{})}
-		s.flight[c.subject] = f
-		go s.fly(c, f)
-	case f.left && f.next == nil:
-		f.next = &flight{first: c, done: make(chan struct{})}
+		f = &flight{mostUrgent: c, done: make(chan struct{})}
+		s.flights[c.subject] = f
+		go s.runFlights(c, f)
+	case f.sent && f.next == nil:
+		f.next = &flight{mostUrgent: c, done: make(chan struct{})}
 	}
 }
 
@@ -222,24 +222,24 @@
 func (s *sharer) key(subject string) string { return s.name + "/" + subject }
 
 // beginDraw marks a flight as sent and returns its draw.
-func (s *sharer) begin(c claim, owner string, f *flight) quota.Draw {
+func (s *sharer) beginDraw(c claim, owner string, f *flight) quota.Draw {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	f.left = true
+	f.sent = true
 	d := s.client.BeginDraw(s.opt.Clock(), c.subject, owner, c.limits, f.need, f.waiting)
-	d.Rank, d.TimeLeft, d.Queued = f.first.rank, f.first.timeLeft, f.first.waits
+	d.Rank, d.TimeLeft, d.Queued = f.mostUrgent.rank, f.mostUrgent.timeLeft, f.mostUrgent.queued
 	return d
 }
 
-func (s *sharer) granted(subject, owner string, g quota.Grant) {
+func (s *sharer) receiveGrant(subject, owner string, g quota.Grant) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.client.ReceiveGrant(s.opt.Clock(), subject, owner, g)
 }
 
-func (s *sharer) fail(subject string, m membership.Member, err error) {
+func (s *sharer) drawFailed(subject string, m membership.Member, err error) {
 	s.metrics.failed.Inc(1)
-	if s.fleet.failed(m.ID) {
+	if s.roster.markUnresponsive(m.ID) {
 		s.opt.Log.Info(decisions.EventDependencyLost, "dependency", "quota owner", "kind", s.name, "subject", subject, "owner", m.ID, "error", err)
 	}
 	s.mu.Lock()
@@ -249,15 +249,15 @@
 
 // ownerDraw answers a draw as the owner; share is the share of the limits that this daemon may give
 // out.
-func (s *sharer) own(d quota.Draw, part float64) quota.Grant {
+func (s *sharer) ownerDraw(d quota.Draw, share float64) quota.Grant {
 	s.ownMu.Lock()
 	defer s.ownMu.Unlock()
-	return s.owner.Draw(s.opt.Clock(), d, part)
+	return s.owner.Draw(s.opt.Clock(), d, share)
 }
 
 // recentShare returns the share of a subject's limits that this daemon was granted recently,
 // between 0 and 1.
-func (s *sharer) share(now time.Time, subject string, limits quota.Limits) float64 {
+func (s *sharer) recentShare(now time.Time, subject string, limits quota.Limits) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.client.RecentShare(now, subject, s.bounds.Sustained(limits))
@@ -265,7 +265,7 @@
 
 // view returns the state of a subject's bucket, if this daemon is the owner by its own view.
 func (s *sharer) view(subject string) (quota.View, bool) {
-	owners := s.fleet.owners(s.key(subject), 1)
+	owners := s.roster.owners(s.key(subject), 1)
 	if len(owners) == 0 || owners[0].ID != s.opt.Self {
 		return quota.View{}, false
 	}
@@ -275,7 +275,7 @@
 }
 
 // expire drops the state of subjects for which no requests have arrived for a long time.
-func (s *sharer) forget() {
+func (s *sharer) expire() {
 	now := s.opt.Clock()
 	s.mu.Lock()
 	s.client.Expire(now)
--- a/driver/quotas/target_test.go
+++ b/driver/quotas/target_test.go
@@ -14,11 +14,11 @@
 
 // target is an endpoint that reports limits, in virtual time.
 type target struct {
-	in   *installation
-	life fleet.Incarnation
+	in          *installation
+	incarnation fleet.Incarnation
 
 	mu       sync.Mutex
-	said     []saidLimit // in order
+	limits   []reportedLimit // in order
 	arrivals []time.Time
 	offered  []time.Time
 	// ranks is the number of ranks of requests, which are equally frequent (0: all have rank 0);
@@ -36,28 +36,28 @@
 }
 
 // reportedLimit is the limit that the endpoint reports from a time on.
-type saidLimit struct {
+type reportedLimit struct {
 	from    time.Time
 	rate    float64
 	limited bool
 }
 
 // answerTime is how long the endpoint takes to answer.
-const answersIn = 40 * time.Millisecond
+const answerTime = 40 * time.Millisecond
 
 // setLimit sets the limit that the endpoint reports from now on.
-func (t *target) say(rate float64, limited bool) {
+func (t *target) setLimit(rate float64, limited bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.said = append(t.said, saidLimit{time.Now(), rate, limited})
+	t.limits = append(t.limits, reportedLimit{time.Now(), rate, limited})
 }
 
 // limitAt returns the limit that the endpoint reports at a time.
-func (t *target) at(now time.Time) saidLimit {
+func (t *target) limitAt(now time.Time) reportedLimit {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	last := saidLimit{}
-	for _, s := range t.said {
+	last := reportedLimit{}
+	for _, s := range t.limits {
 		if !s.from.After(now) {
 			last = s
 		}
@@ -70,7 +70,7 @@
 func (t *target) serve(h *host, rank int) {
 	k := h.current()
 	h.mu.Lock()
-	skip := h.settledAt.Before(h.backAt) || time.Now().Before(h.full)
+	skip := h.syncedAt.Before(h.startedAt) || time.Now().Before(h.noRoomUntil)
 	h.mu.Unlock()
 	if k == nil {
 		return
@@ -82,10 +82,10 @@
 		return
 	}
 	k.Endpoints().WaitSynced(context.Background())
-	_, ok, roomIn := k.Endpoints().Admit(context.Background(), t.life, backpressure.Request{Rank: rank})
+	_, ok, retryAfter := k.Endpoints().Admit(context.Background(), t.incarnation, backpressure.Request{Rank: rank})
 	if !ok {
 		h.mu.Lock()
-		h.full = time.Now().Add(roomIn)
+		h.noRoomUntil = time.Now().Add(retryAfter)
 		h.mu.Unlock()
 		return
 	}
@@ -95,15 +95,15 @@
 	t.arrivals = append(t.arrivals, time.Now())
 	t.byRank[rank]++
 	t.mu.Unlock()
-	time.Sleep(answersIn)
-	said := t.at(time.Now())
+	time.Sleep(answerTime)
+	reported := t.limitAt(time.Now())
 	if h.current() == k {
-		k.Endpoints().ObserveReport(t.life, sent, protocol.RateLimit{Rate: said.rate, Present: said.limited})
+		k.Endpoints().ObserveReport(t.incarnation, sent, protocol.RateLimit{Rate: reported.rate, Present: reported.limited})
 	}
 }
 
 // send generates requests at random hosts of a list for a while, at a rate in requests a second.
-func (t *target) press(hosts []*host, rate func(time.Duration) float64, d time.Duration) {
+func (t *target) send(hosts []*host, rate func(time.Duration) float64, d time.Duration) {
 	start := time.Now()
 	for time.Since(start) < d {
 		t.in.mu.Lock()
@@ -119,12 +119,12 @@
 
 // limitEffectiveAfter is the time after a first report within which all daemons must keep to a limit:
 // the delay that users accept.
-const knownAfter = 3 * time.Second
+const limitEffectiveAfter = 3 * time.Second
 
 // maxExcess returns by how many requests the arrived ones exceed the bound of the highest limit, in
 // the window with the largest excess. Windows that begin before a limit, or shortly after its begin,
 // do not count.
-func (t *target) worst() int {
+func (t *target) maxExcess() int {
 	t.mu.Lock()
 	list := slices.Clone(t.arrivals)
 	t.mu.Unlock()
@@ -134,23 +134,23 @@
 		for at.Sub(list[first]) > limit.Bounds.Window {
 			first++
 		}
-		highest, bound := t.highest(list[first].Add(-knownAfter), at)
+		highest, bound := t.highest(list[first].Add(-limitEffectiveAfter), at)
 		if !bound {
 			continue
 		}
-		most := int(1.5*highest*limit.Bounds.Window.Seconds() + 5)
-		worst = max(worst, i-first+1-most)
+		allowed := int(1.5*highest*limit.Bounds.Window.Seconds() + 5)
+		worst = max(worst, i-first+1-allowed)
 	}
 	return worst
 }
 
 // highest returns the highest limit in a period, and whether there was a limit throughout.
 func (t *target) highest(from, to time.Time) (highest float64, bound bool) {
-	s := t.at(from)
+	s := t.limitAt(from)
 	highest, bound = s.rate, s.limited
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, s := range t.said {
+	for _, s := range t.limits {
 		if s.from.After(from) && !s.from.After(to) {
 			highest, bound = max(highest, s.rate), bound && s.limited
 		}
@@ -160,8 +160,8 @@
 
 // throughput returns the requests that arrived in a period in which the limit was constant, and those
 // that one central bucket with the endpoint's rate would have admitted.
-func (t *target) use(from, to time.Time) (came, central int) {
-	rate := t.at(from).rate
+func (t *target) throughput(from, to time.Time) (arrived, central int) {
+	rate := t.limitAt(from).rate
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	level, last := 1.0, from
@@ -179,8 +179,8 @@
 	}
 	for _, at := range t.arrivals {
 		if !at.Before(from) && !at.After(to) {
-			came++
+			arrived++
 		}
 	}
-	return came, central
+	return arrived, central
 }
--- a/driver/quotas/workspaces.go
+++ b/driver/quotas/workspaces.go
@@ -25,17 +25,17 @@
 	metrics *metrics
 	shared  *sharer
 
-	mu     sync.Mutex
-	over   map[string]time.Time // time of the last refusal, by workspace
-	counts map[string]counts
+	mu          sync.Mutex
+	lastRefused map[string]time.Time // time of the last refusal, by workspace
+	counts      map[string]counts
 	// refusals holds the counter of refused requests by workspace, for at most maxTagged of them.
 	refusals map[string]tally.Counter
 }
 
 func newWorkspaces(k *Controller) *workspaces {
-	w := &workspaces{opt: &k.opt, metrics: &k.metrics, over: map[string]time.Time{}, counts: map[string]counts{}, refusals: map[string]tally.Counter{}}
+	w := &workspaces{opt: &k.opt, metrics: &k.metrics, lastRefused: map[string]time.Time{}, counts: map[string]counts{}, refusals: map[string]tally.Counter{}}
 	w.shared = newSharer(k, quotapb.Kind_WORKSPACE, "quota", k.opt.Bounds)
-	w.shared.newest, w.shared.unreached = w.newest, w.unreached
+	w.shared.latestLimits, w.shared.isolatedGrant = w.latestLimits, w.isolatedGrant
 	return w
 }
 
@@ -56,27 +56,27 @@
 }
 
 // Refund takes back the ticket of an admitted request that has not run.
-func (k *Controller) Refund(t Ticket) { k.workspaces.shared.giveBack(t) }
+func (k *Controller) Refund(t Ticket) { k.workspaces.shared.refund(t) }
 
-func (s *workspaces) count(name string, more counts) {
+func (s *workspaces) count(name string, delta counts) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := s.counts[name]
-	s.counts[name] = counts{n.passed + more.passed, n.refused + more.refused}
+	s.counts[name] = counts{n.passed + delta.passed, n.refused + delta.refused}
 }
 
 // refuse counts and logs a refused request, and returns the refusal.
 func (s *workspaces) refuse(w *workspace.Workspace, cost float64) *protocol.Refusal {
-	after := s.shared.refused(w.Name, cost)
+	after := s.shared.addRefusal(w.Name, cost)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.opt.Clock()
 	s.metrics.refused.Inc(1)
-	s.refusedOf(w.Name).Inc(1)
-	if last, ok := s.over[w.Name]; !ok || now.Sub(last) > overAgain {
+	s.refusalCounter(w.Name).Inc(1)
+	if last, ok := s.lastRefused[w.Name]; !ok || now.Sub(last) > overLogPause {
 		s.opt.Log.Info(decisions.EventOverQuota, "workspace", w.Name, "rate", w.Quota.Rate, "burst", w.Quota.Burst, "cost", cost)
 	}
-	s.over[w.Name] = now
+	s.lastRefused[w.Name] = now
 	detail := fmt.Sprintf("workspace %q is over its quota of %.0f a second; this request takes %.0f", w.Name, w.Quota.Rate, cost)
 	return protocol.Refuse(http.StatusTooManyRequests, ReasonQuotaExceeded, detail, after)
 }
@@ -84,13 +84,13 @@
 // maxTagged bounds the workspaces that have a counter of their own: the first ones with a refused
 // request. All other workspaces share one counter, named others.
 const (
-	tagged = 32
-	others = "others"
+	maxTagged = 32
+	others    = "others"
 )
 
 // refusalCounter returns the counter of a workspace's refusals. The caller holds the mutex.
-func (s *workspaces) refusedOf(name string) tally.Counter {
-	if _, known := s.refusals[name]; !known && len(s.refusals) >= tagged {
+func (s *workspaces) refusalCounter(name string) tally.Counter {
+	if _, known := s.refusals[name]; !known && len(s.refusals) >= maxTagged {
 		name = others
 	}
 	c := s.refusals[name]
@@ -103,26 +103,26 @@
 
 // overLogPause is the time without a refusal after which the next refusal of a workspace is logged
 // again.
-const overAgain = 5 * time.Second
+const overLogPause = 5 * time.Second
 
 func limitsOf(w *workspace.Workspace) quota.Limits {
 	return quota.Limits{Rate: w.Quota.Rate, Burst: max(w.Quota.Burst, 1)}
 }
 
 // latestLimits implements sharer.latestLimits: the version is that of the desired state.
-func (s *workspaces) newest(subject string, version uint64, told quota.Limits) (limits quota.Limits, none bool) {
-	directory, own := s.opt.Directory()
-	if w := directory.ByName(subject); w != nil && own >= version && w.Quota.Bounded() {
+func (s *workspaces) latestLimits(subject string, version uint64, received quota.Limits) (limits quota.Limits, none bool) {
+	directory, ownVersion := s.opt.Directory()
+	if w := directory.ByName(subject); w != nil && ownVersion >= version && w.Quota.Bounded() {
 		return limitsOf(w), false
 	}
-	return told, false
+	return received, false
 }
 
 // isolatedGrant implements sharer.isolatedGrant: a daemon that reaches no owner admits requests within
 // the slack, in proportion to the share that it was granted recently, plus a small fixed share in
 // case that was nothing. The other daemons continue without it and use the whole quota, so the
 // requests that it admits come on top of the quota.
-func (s *workspaces) unreached(now time.Time, d quota.Draw) quota.Grant {
-	part := s.shared.share(now, d.Subject, d.Limits) + s.shared.fleet.aloneShare()
-	return s.shared.own(d, min(1, part)*s.shared.bounds.IsolatedShare(d.Limits))
+func (s *workspaces) isolatedGrant(now time.Time, d quota.Draw) quota.Grant {
+	share := s.shared.recentShare(now, d.Subject, d.Limits) + s.shared.roster.isolatedMinShare()
+	return s.shared.ownerDraw(d, min(1, share)*s.shared.bounds.IsolatedShare(d.Limits))
 }
