--- a/driver/claimer/claimer.go
+++ b/driver/claimer/claimer.go
@@ -1,5 +1,5 @@
-// Package claimer drives the claim shards: it finds a shard's owner among the
-// daemons, and runs the shards that this daemon owns.
+// Package claimer claims idempotency keys: it finds the owner of a key's shard among the
+// daemons, and runs the shards that this daemon owns. The rules are in coordination/claims.
 package claimer
 
 import (
@@ -24,11 +24,11 @@
 )
 
 const (
-	readRetry   = 200 * time.Millisecond
-	callTimeout = 1500 * time.Millisecond
+	readRetry   = 200 * time.Millisecond  // pause before a shard is read again after an error
+	callTimeout = 1500 * time.Millisecond // for a claim or release, at the calling and the called daemon
 )
 
-// Options configure a Claimer.
+// Options configure a Claimer. Functions must be safe for concurrent use.
 type Options struct {
 	Self     string
 	Platform *platform.Client
@@ -38,29 +38,31 @@
 	Log      hclog.Logger
 }
 
-// Claimer is safe for concurrent use.
+// Claimer claims and releases idempotency keys. It is safe for concurrent use.
 type Claimer struct {
 	opt    Options
 	mu     sync.Mutex
 	shards map[uint32]*shard
 }
 
-// New returns a claimer that has read nothing.
+// New returns a Claimer that has read no shard yet.
 func New(opt Options) *Claimer { return &Claimer{opt: opt, shards: map[uint32]*shard{}} }
 
-// Claim claims a key for the attempt named by claimID. Unless it returns
-// Granted, the request must not be dispatched.
+// Claim claims a key for the attempt with the id claimID. Unless it returns
+// claims.Granted, the request must not be dispatched.
 func (c *Claimer) Claim(ctx context.Context, key claims.Key, claimID string) claims.Outcome {
 	return c.ask(ctx, key, claimID, false)
 }
 
-// Release gives back a key whose request has certainly not run.
+// Release withdraws the claim of a key. It may be called only if the request has certainly
+// not run.
 func (c *Claimer) Release(ctx context.Context, key claims.Key, claimID string) claims.Outcome {
 	return c.ask(ctx, key, claimID, true)
 }
 
-// ask goes to the shard's owner, and to the next candidate when that does not
-// answer. Both may believe to be the owner; the platform's condition decides.
+// submit passes a claim or release to the shard's owner, and to the next candidate if the
+// owner does not answer. Both may act as the owner at the same time: the conditional writes
+// of the platform let only one of them succeed.
 func (c *Claimer) ask(ctx context.Context, key claims.Key, claimID string, release bool) claims.Outcome {
 	n := key.Shard(c.opt.Config().Shards)
 	owners := membership.Rendezvous("claims/"+strconv.Itoa(int(n)), c.opt.Members())
@@ -105,10 +107,12 @@
 	return &peerpb.ClaimResponse{Outcome: toWire[c.local(ctx, req.Shard, key, req.ClaimId, req.Release)]}
 }
 
+// local claims or releases a key in the shard of this daemon.
 func (c *Claimer) local(ctx context.Context, n uint32, key claims.Key, claimID string, release bool) claims.Outcome {
 	return c.shard(n).do(ctx, key, claimID, release)
 }
 
+// shard returns the shard n, and creates it if there is none.
 func (c *Claimer) shard(n uint32) *shard {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -124,7 +128,8 @@
 	return s
 }
 
-// PlatformRestored lets each shard write again what a restored platform may have lost.
+// PlatformRestored makes each shard write again the claims that a restored platform may have
+// lost. generation is that of the restored platform.
 func (c *Claimer) PlatformRestored(generation uint64) {
 	c.mu.Lock()
 	shards := slices.Collect(maps.Values(c.shards))
@@ -136,7 +141,7 @@
 	}
 }
 
-// Sizes returns the number of keys held for each shard, for a dump.
+// Sizes returns the number of keys held in each shard, for the state dump.
 func (c *Claimer) Sizes() map[uint32]int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -149,13 +154,14 @@
 	return sizes
 }
 
+// waiter identifies a claim or release whose outcome a caller waits for.
 type waiter struct {
 	claimID string
 	release bool
 }
 
-// shard runs one machine: every event is followed by what the machine asks
-// for.
+// shard runs one claims.Shard, a state machine without I/O: it passes events to the machine
+// and carries out the actions that the machine returns.
 type shard struct {
 	name     string
 	platform *platform.Client
@@ -166,6 +172,8 @@
 	timer   *time.Timer
 }
 
+// do claims or releases a key, and waits for the outcome. It returns claims.Unavailable if ctx
+// ends first.
 func (s *shard) do(ctx context.Context, key claims.Key, claimID string, release bool) claims.Outcome {
 	ch := make(chan claims.Outcome, 1)
 	w := waiter{claimID, release}
@@ -188,12 +196,13 @@
 	}
 }
 
-// step feeds the machine; the caller holds the mutex.
+// step passes an event to the machine and carries out its actions. The caller holds the mutex.
 func (s *shard) step(e claims.Event) {
 	s.m.Step(time.Now(), e)
 	s.pump()
 }
 
+// runReady carries out the actions that the machine returns. The caller holds the mutex.
 func (s *shard) pump() {
 	r := s.m.Ready(time.Now())
 	switch {
@@ -215,6 +224,8 @@
 	s.schedule()
 }
 
+// schedule starts a timer for the time at which the machine has its next action. The caller holds
+// the mutex.
 func (s *shard) schedule() {
 	at := s.m.NextAt()
 	if at.IsZero() || s.timer != nil {
@@ -228,7 +239,7 @@
 	})
 }
 
-// read gets the head and its sealed segments.
+// read reads the head and its sealed segments from the platform.
 func (s *shard) read() {
 	ctx := context.Background() // each call has the platform's timeout
 	e := claims.ReadDone{Segments: map[string]claims.Segment{}}
@@ -251,7 +262,7 @@
 	s.step(e)
 }
 
-// write creates the sealed segment, if any, and then updates the head.
+// write creates the sealed segment, if there is one, and then updates the head.
 func (s *shard) write(w claims.Write) {
 	ctx := context.Background()
 	out := protocol.WriteOK
