--- a/driver/rollout/actions.go
+++ b/driver/rollout/actions.go
@@ -15,27 +15,29 @@
 	"github.com/doorvalve/doorvalve/transport/platform"
 )
 
-// ErrUnsettled says that the platform did not answer and that the change may
-// have been accepted.
+// ErrOutcomeUnknown reports that the platform did not confirm a change, which may have been
+// accepted.
 var ErrOutcomeUnknown = errors.New("the platform did not answer; the change may have been accepted: look at the status before trying again")
 
-// readBacks is how often a lost answer is looked after before giving up.
+// maxAttempts bounds the attempts at a change. Each attempt after the first reads the object again,
+// since the answer to the write before may have been lost.
 const readBacks = 3
 
-// Drain is the object that takes an endpoint out of service.
+// Drain is the stored object that takes an endpoint out of service.
 type Drain struct {
-	On bool      `json:"on"`
-	By string    `json:"by"`
+	On bool      `json:"on"` // false: the endpoint is in service again
+	By string    `json:"by"` // operator
 	At time.Time `json:"at"`
 }
 
+// writeID returns a random id, by which a write is recognized when it is read back.
 func writeID() string {
 	var b [8]byte
 	_, _ = rand.Read(b[:]) // never fails
 	return hex.EncodeToString(b[:])
 }
 
-// Propose stores a checked bundle for review and returns its digest.
+// Propose checks a bundle, stores it for review and returns its digest.
 func (r *Rollout) Propose(ctx context.Context, content []byte, author, note string) (string, error) {
 	if _, err := bundle.Parse("bundle", content); err != nil {
 		return "", err
@@ -48,8 +50,8 @@
 	return digest, r.create(ctx, platform.KindReview, digest, review)
 }
 
-// create writes an object that may be there already. Its name is its content's
-// digest, so an existing one is the same.
+// create writes an object unless it exists. Objects are named by the digest of their bundle, so an
+// existing one is the same.
 func (r *Rollout) create(ctx context.Context, kind platform.Kind, name string, v any) error {
 	for range readBacks {
 		if _, out := r.platform.Put(ctx, kind, name, r.platform.IfAbsent(), v); out != protocol.WriteUnknown {
@@ -63,7 +65,7 @@
 	return ErrOutcomeUnknown
 }
 
-// SignOff records that who has reviewed the exact digest.
+// SignOff records that the operator who has reviewed the bundle with this digest.
 func (r *Rollout) SignOff(ctx context.Context, digest, who string) error {
 	for range readBacks {
 		var review rules.Review
@@ -76,7 +78,7 @@
 			return err
 		}
 		if len(next.SignOffs) == len(review.SignOffs) {
-			return nil // recorded before, perhaps by a write whose answer was lost
+			return nil // already recorded, perhaps by a write whose answer was lost
 		}
 		if _, out := r.platform.Put(ctx, platform.KindReview, digest, version, next); out == protocol.WriteOK {
 			return nil
@@ -85,9 +87,9 @@
 	return ErrOutcomeUnknown
 }
 
-// Advance rolls a signed-off digest out. expected is the generation that the
-// operator saw in force. A lost answer is settled by reading back and
-// comparing the write's id.
+// Advance rolls out a bundle that is signed off. expected is the generation that the operator saw in
+// force; if another one is in force, Advance returns a *Conflict of coordination/rollout. If the
+// answer to the write is lost, Advance reads the pointer back and compares the id of the write.
 func (r *Rollout) Advance(ctx context.Context, digest string, expected uint64, by string) (rules.Pointer, error) {
 	var review rules.Review
 	if _, err := r.platform.Get(ctx, platform.KindReview, digest, &review); err != nil {
@@ -116,7 +118,7 @@
 	return rules.Pointer{}, ErrOutcomeUnknown
 }
 
-// Pointer reads the pointer with its history.
+// Pointer reads the pointer with its history; it is zero if nothing has been rolled out.
 func (r *Rollout) Pointer(ctx context.Context) (rules.Pointer, error) {
 	var p rules.Pointer
 	_, err := r.platform.Get(ctx, platform.KindConfig, PointerName, &p)
@@ -126,14 +128,14 @@
 	return p, err
 }
 
-// Content reads a proposed bundle.
+// Content reads a proposed bundle by its digest.
 func (r *Rollout) Content(ctx context.Context, digest string) (string, error) {
 	var text string
 	_, err := r.platform.Get(ctx, platform.KindBundle, digest, &text)
 	return text, err
 }
 
-// SetDrain takes an endpoint out of service, or back.
+// SetDrain takes an endpoint out of service, or puts it back into service.
 func (r *Rollout) SetDrain(ctx context.Context, endpoint string, on bool, by string) error {
 	for range readBacks {
 		var d Drain
--- a/driver/rollout/restore.go
+++ b/driver/rollout/restore.go
@@ -13,16 +13,16 @@
 	"github.com/doorvalve/doorvalve/transport/platform"
 )
 
-// A platform that comes back from a copy has lost what operators have rolled out and drained since.
-// Daemons go on with what is in force; the first watcher writes it again.
+// A platform that is restored from a copy has lost the rollouts and drains since that copy. Daemons
+// keep the configuration and the drains in force, and the first watcher writes them again.
 
-// restorePointer writes the pointer of the generation in force again, over an older one.
+// restorePointer writes the pointer of the generation in force again, in place of an older one.
 func (r *Rollout) restorePointer(ctx context.Context, older rules.Pointer, version storeversion.Version) {
 	s := r.current.Load()
 	e, ok := r.gossip.Get(factConfig)
 	var step rules.Step
 	if s == nil || !ok || json.Unmarshal(e.Value, &step) != nil || step.Generation != s.Generation {
-		return // a newer one is being adopted; the next look tells
+		return // a newer generation is being adopted; the next read of the pointer decides
 	}
 	review := rules.Review{Digest: step.Digest, Author: step.Author, At: step.At, SignOffs: step.SignedBy}
 	err := r.create(ctx, platform.KindBundle, step.Digest, string(s.Content))
@@ -36,8 +36,9 @@
 	r.log.Warn(decisions.EventStateRewritten, "of", "rollout", "generation", step.Generation, "before", older.Generation, "written", outcome == protocol.WriteOK, "error", err)
 }
 
-// restoreDrains writes drains again that the copy lacks or has otherwise. Only facts of an older
-// generation of the platform are: later ones are what operators have said since.
+// restoreDrains writes drains again that the restored copy lacks or holds with another value. It
+// considers only facts of an older generation of the platform: later facts are changes that operators
+// have made since the restore.
 func (r *Rollout) restoreDrains(ctx context.Context, drains []platform.Object, generation uint64) {
 	if !r.watching(1) {
 		return
@@ -57,5 +58,5 @@
 	}
 }
 
-// restoredBy names the daemons as those who have written a drain again.
+// restoredBy is the author of drains that daemons have written again.
 const restoredBy = "doorvalve, after a restore of the platform"
--- a/driver/rollout/rollout.go
+++ b/driver/rollout/rollout.go
@@ -1,6 +1,7 @@
-// Package rollout keeps the configuration in force: it learns of new
-// generations from the platform or from peers, fetches and checks the bundle
-// and publishes it as a snapshot.
+// Package rollout keeps the configuration in force at one daemon: it receives new generations from
+// the platform or from peers, fetches and checks the bundle, and publishes it as a snapshot. It also
+// publishes which endpoints operators drain, and which ones the host list calls leaving. The rules
+// of a rollout are in coordination/rollout.
 package rollout
 
 import (
@@ -31,24 +32,25 @@
 const (
 	PointerName   = "current" // of the object of KindConfig
 	factConfig    = "config"
-	drainPrefix   = "d/" // endpoints drained by an operator
-	leavingPrefix = "e/" // endpoints that the host list calls leaving
+	drainPrefix   = "d/" // of facts: whether an operator drains an endpoint
+	leavingPrefix = "e/" // of facts: whether the host list calls an endpoint leaving
 	yes           = "1"
 	no            = "0"
 )
 
 const (
-	watchers    = 3 // daemons that wait on the platform, whatever the fleet's size
+	watchers    = 3 // daemons that watch the platform, independent of the number of daemons
 	watchWait   = 5 * time.Second
-	rereadEvery = 10 * time.Second // against a watch that lags
+	rereadEvery = 10 * time.Second // for reads of the pointer beside the watch, which may lag
 	hostsEvery  = time.Second
 	retryWait   = 500 * time.Millisecond
 )
 
-// Rollout is safe for concurrent use.
+// Rollout adopts new generations of the configuration, and carries out operators' changes. It is safe
+// for concurrent use.
 type Rollout struct {
 	log      *decisions.Log
-	lostAt   time.Time // of the platform; used by the watch alone
+	lostAt   time.Time // when the platform stopped answering; zero while it answers. Used only by watch
 	platform *platform.Client
 	peers    *peers.Client
 	gossip   *gossip.Gossip
@@ -57,23 +59,24 @@
 	onChange []func(*snapshot.Snapshot)
 	wake     chan struct{}
 
-	mu sync.Mutex // adoption, one at a time
+	mu sync.Mutex // held while a generation is adopted
 }
 
-// New returns a driver without a configuration.
+// New returns a Rollout without a configuration.
 func New(log *decisions.Log, p *platform.Client, c *peers.Client, g *gossip.Gossip) *Rollout {
 	r := &Rollout{log: log, platform: p, peers: c, gossip: g, wake: make(chan struct{}, 1)}
 	g.OnChange(r.kick)
 	return r
 }
 
-// OnChange adds a function that is called with each new snapshot, before it is
-// announced. It must be called before Run.
+// OnChange adds a function that is called with each new snapshot, before Current returns it and
+// before its generation is announced to peers. OnChange must be called before Run.
 func (r *Rollout) OnChange(f func(*snapshot.Snapshot)) { r.onChange = append(r.onChange, f) }
 
-// Current returns the snapshot in force, or nil.
+// Current returns the snapshot in force, or nil if there is none yet.
 func (r *Rollout) Current() *snapshot.Snapshot { return r.current.Load() }
 
+// wakeRun makes Run look for a new generation.
 func (r *Rollout) kick() { wake.Once(r.wake) }
 
 // Run adopts new generations until ctx ends.
@@ -95,6 +98,7 @@
 	return nil
 }
 
+// generation returns the generation in force, or zero.
 func (r *Rollout) generation() uint64 {
 	if s := r.current.Load(); s != nil {
 		return s.Generation
@@ -102,8 +106,8 @@
 	return 0
 }
 
-// adoptOffered brings the gossiped pointer into force. It returns false when
-// that has to be tried again.
+// adoptOffered brings the generation of the gossiped pointer into force, if it is newer. It returns
+// false if that must be tried again.
 func (r *Rollout) adoptOffered(ctx context.Context) bool {
 	e, ok := r.gossip.Get(factConfig)
 	if !ok || !rules.Adopt(r.generation(), e.Version) {
@@ -122,6 +126,8 @@
 	return r.adopt(step, content)
 }
 
+// adopt checks a bundle and brings it into force, if its generation is newer. It returns false if
+// that must be tried again.
 func (r *Rollout) adopt(step rules.Step, content []byte) bool {
 	b, err := bundle.Parse(rules.Short(step.Digest), content)
 	if err != nil {
@@ -143,8 +149,8 @@
 	return true
 }
 
-// fetch gets a bundle by digest: from a peer that has it in force, or else
-// from the platform. The digest is checked, so the source does not matter.
+// fetch gets the bundle of a step by its digest, from a peer that may have it in force or else from the
+// platform. The digest of the content is checked, so the source need not be trusted.
 func (r *Rollout) fetch(ctx context.Context, step rules.Step) ([]byte, error) {
 	members := r.gossip.Members()
 	start := rand.IntN(max(1, len(members)))
@@ -168,7 +174,7 @@
 	return []byte(text), nil
 }
 
-// HandleFetch serves the Fetch call.
+// HandleFetch serves the Fetch call: it returns the bundle in force if that has the requested digest.
 func (r *Rollout) HandleFetch(req *peerpb.FetchRequest) *peerpb.FetchResponse {
 	s := r.current.Load()
 	if s == nil || s.Digest != req.Digest {
@@ -177,7 +183,8 @@
 	return &peerpb.FetchResponse{Found: true, Content: s.Content}
 }
 
-// offer tells all daemons of a pointer that the platform has accepted.
+// publishPointer publishes a pointer that the platform has accepted to all daemons. It ignores the
+// zero pointer.
 func (r *Rollout) offer(p rules.Pointer) {
 	value, err := json.Marshal(p.Step)
 	if err != nil || p.Generation == 0 {
@@ -187,8 +194,7 @@
 	r.kick()
 }
 
-// watching reports whether this daemon is one of the few that wait on the
-// platform for all.
+// isWatcher reports whether this daemon is one of the n that watch the platform for all daemons.
 func (r *Rollout) watching(n int) bool {
 	self := r.gossip.Self().ID
 	list := membership.Rendezvous("config-watch", r.gossip.Members())
@@ -200,7 +206,8 @@
 	return len(list) == 0
 }
 
-// watch waits for moves of the pointer, and reads it anew now and then.
+// watch follows changes of the pointer and of drains while this daemon is a watcher or has no
+// configuration. It also reads them again every rereadInterval.
 func (r *Rollout) watch(ctx context.Context) {
 	since, readAt := storeversion.Version{}, time.Time{}
 	for ctx.Err() == nil {
@@ -238,6 +245,7 @@
 	}
 }
 
+// handleChange publishes a changed object of the watch.
 func (r *Rollout) watched(o platform.Object, generation uint64) {
 	switch o.Kind {
 	case platform.KindConfig:
@@ -250,8 +258,8 @@
 	}
 }
 
-// platformAnswered logs the loss and the return of the platform, as the daemons
-// that watch it see them.
+// platformAnswered logs when the platform stops answering this daemon's watch, and when it answers
+// again.
 func (r *Rollout) platformAnswered(ctx context.Context, err error) {
 	switch {
 	case ctx.Err() != nil:
@@ -264,8 +272,9 @@
 	}
 }
 
-// readPointer reads the pointer and the drains; its error says that the
-// platform did not answer.
+// readPointer reads the pointer and the drains, and publishes them. As the first watcher it also
+// writes those again that a restored platform has lost. An error means that the platform did not
+// answer.
 func (r *Rollout) readPointer(ctx context.Context) error {
 	var p rules.Pointer
 	version, err := r.platform.Get(ctx, platform.KindConfig, PointerName, &p)
@@ -287,6 +296,7 @@
 	return nil
 }
 
+// publishDrain publishes a stored drain, unless the object is older than the published fact.
 func (r *Rollout) drainFact(o platform.Object, generation uint64) {
 	var drain Drain
 	if o.Deleted || json.Unmarshal(o.Value, &drain) != nil {
@@ -294,7 +304,7 @@
 	}
 	known, ok := r.gossip.Get(drainPrefix + o.Name)
 	if ok && storeversion.GenerationOf(known.Version) < generation && string(known.Value) != flag(drain.On) {
-		return // of the copy that the platform came back from; see restoreDrains
+		return // the object is from the copy that the platform was restored from; see restoreDrains
 	}
 	r.setDrainFact(o.Name, storeversion.Version{Generation: generation, Revision: o.Version}, drain.On)
 }
@@ -303,6 +313,7 @@
 	r.gossip.Set(membership.Entry{Key: drainPrefix + endpoint, Version: version.Number(), Value: []byte(flag(on))})
 }
 
+// factValue returns the value of a fact that stands for b.
 func flag(b bool) string {
 	if b {
 		return yes
@@ -310,7 +321,7 @@
 	return no
 }
 
-// Leaving reports whether an operator or the host list takes an endpoint out.
+// Leaving reports whether an operator drains an endpoint, or the host list calls it leaving.
 func (r *Rollout) Leaving(endpoint string) bool {
 	for _, key := range []string{drainPrefix + endpoint, leavingPrefix + endpoint} {
 		if e, ok := r.gossip.Get(key); ok && string(e.Value) == yes {
@@ -320,7 +331,8 @@
 	return false
 }
 
-// watchHosts turns the host list into facts. One daemon does it for all.
+// watchHosts publishes the host list as facts, every hostsInterval until ctx ends. The first watcher
+// does it for all daemons.
 func (r *Rollout) watchHosts(ctx context.Context) {
 	for ctx.Err() == nil {
 		if s := r.current.Load(); s != nil && r.watching(1) {
@@ -332,6 +344,7 @@
 	}
 }
 
+// publishHosts publishes the endpoints whose leaving state in the host list has changed.
 func (r *Rollout) hostFacts(s *snapshot.Snapshot, hosts []platform.Host) {
 	leaving := map[string]bool{}
 	for _, h := range hosts {
