--- a/driver/claimer/claimer.go
+++ b/driver/claimer/claimer.go
@@ -51,19 +51,19 @@
 // Claim claims a key for the attempt with the id claimID. Unless it returns
 // claims.Granted, the request must not be dispatched.
 func (c *Claimer) Claim(ctx context.Context, key claims.Key, claimID string) claims.Outcome {
-	return c.ask(ctx, key, claimID, false)
+	return c.submit(ctx, key, claimID, false)
 }
 
 // Release withdraws the claim of a key. It may be called only if the request has certainly
 // not run.
 func (c *Claimer) Release(ctx context.Context, key claims.Key, claimID string) claims.Outcome {
-	return c.ask(ctx, key, claimID, true)
+	return c.submit(ctx, key, claimID, true)
 }
 
 // submit passes a claim or release to the shard's owner, and to the next candidate if the
 // owner does not answer. Both may act as the owner at the same time: the conditional writes
 // of the platform let only one of them succeed.
-func (c *Claimer) ask(ctx context.Context, key claims.Key, claimID string, release bool) claims.Outcome {
+func (c *Claimer) submit(ctx context.Context, key claims.Key, claimID string, release bool) claims.Outcome {
 	n := key.Shard(c.opt.Config().Shards)
 	owners := membership.Rendezvous("claims/"+strconv.Itoa(int(n)), c.opt.Members())
 	for _, m := range owners[:min(len(owners), 2)] {
@@ -119,7 +119,7 @@
 	s := c.shards[n]
 	if s == nil {
 		s = &shard{name: strconv.Itoa(int(n)), platform: c.opt.Platform, waiters: map[waiter]chan claims.Outcome{}}
-		s.m = claims.NewShard(claims.Options{
+		s.machine = claims.NewShard(claims.Options{
 			Owner: c.opt.Self, Shard: n, Interval: claims.DefaultInterval, RetryWait: readRetry,
 			Retention: c.opt.Config().Retention.D(), MaxOpen: claims.DefaultMaxOpen,
 		})
@@ -148,7 +148,7 @@
 	sizes := map[uint32]int{}
 	for n, s := range c.shards {
 		s.mu.Lock()
-		sizes[n] = s.m.Size()
+		sizes[n] = s.machine.Size()
 		s.mu.Unlock()
 	}
 	return sizes
@@ -167,7 +167,7 @@
 	platform *platform.Client
 
 	mu      sync.Mutex
-	m       *claims.Shard
+	machine *claims.Shard
 	waiters map[waiter]chan claims.Outcome
 	timer   *time.Timer
 }
@@ -198,13 +198,13 @@
 
 // step passes an event to the machine and carries out its actions. The caller holds the mutex.
 func (s *shard) step(e claims.Event) {
-	s.m.Step(time.Now(), e)
-	s.pump()
+	s.machine.Step(time.Now(), e)
+	s.runReady()
 }
 
 // runReady carries out the actions that the machine returns. The caller holds the mutex.
-func (s *shard) pump() {
-	r := s.m.Ready(time.Now())
+func (s *shard) runReady() {
+	r := s.machine.Ready(time.Now())
 	switch {
 	case r.Read:
 		go s.read()
@@ -227,7 +227,7 @@
 // schedule starts a timer for the time at which the machine has its next action. The caller holds
 // the mutex.
 func (s *shard) schedule() {
-	at := s.m.NextAt()
+	at := s.machine.NextAt()
 	if at.IsZero() || s.timer != nil {
 		return
 	}
@@ -235,7 +235,7 @@
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		s.timer = nil
-		s.pump()
+		s.runReady()
 	})
 }
 
