--- a/driver/rollout/actions.go
+++ b/driver/rollout/actions.go
@@ -21,7 +21,7 @@
 
 // maxAttempts bounds the attempts at a change. Each attempt after the first reads the object again,
 // since the answer to the write before may have been lost.
-const readBacks = 3
+const maxAttempts = 3
 
 // Drain is the stored object that takes an endpoint out of service.
 type Drain struct {
@@ -53,7 +53,7 @@
 // create writes an object unless it exists. Objects are named by the digest of their bundle, so an
 // existing one is the same.
 func (r *Rollout) create(ctx context.Context, kind platform.Kind, name string, v any) error {
-	for range readBacks {
+	for range maxAttempts {
 		if _, out := r.platform.Put(ctx, kind, name, r.platform.IfAbsent(), v); out != protocol.WriteUnknown {
 			return nil
 		}
@@ -67,7 +67,7 @@
 
 // SignOff records that the operator who has reviewed the bundle with this digest.
 func (r *Rollout) SignOff(ctx context.Context, digest, who string) error {
-	for range readBacks {
+	for range maxAttempts {
 		var review rules.Review
 		version, err := r.platform.Get(ctx, platform.KindReview, digest, &review)
 		if err != nil {
@@ -96,14 +96,14 @@
 		return rules.Pointer{}, err
 	}
 	id := writeID()
-	for range readBacks {
+	for range maxAttempts {
 		var p rules.Pointer
 		version, err := r.platform.Get(ctx, platform.KindConfig, PointerName, &p)
 		if err != nil && !errors.Is(err, platform.ErrNotFound) {
 			continue
 		}
 		if p.WriteID == id {
-			r.offer(p)
+			r.publishPointer(p)
 			return p, nil
 		}
 		next, err := rules.Advance(p, review, expected, by, id, time.Now().UTC())
@@ -111,7 +111,7 @@
 			return p, err
 		}
 		if _, out := r.platform.Put(ctx, platform.KindConfig, PointerName, version, next); out == protocol.WriteOK {
-			r.offer(next)
+			r.publishPointer(next)
 			return next, nil
 		}
 	}
@@ -137,7 +137,7 @@
 
 // SetDrain takes an endpoint out of service, or puts it back into service.
 func (r *Rollout) SetDrain(ctx context.Context, endpoint string, on bool, by string) error {
-	for range readBacks {
+	for range maxAttempts {
 		var d Drain
 		version, err := r.platform.Get(ctx, platform.KindDrain, endpoint, &d)
 		if err != nil && !errors.Is(err, platform.ErrNotFound) {
--- a/driver/rollout/restore.go
+++ b/driver/rollout/restore.go
@@ -40,7 +40,7 @@
 // considers only facts of an older generation of the platform: later facts are changes that operators
 // have made since the restore.
 func (r *Rollout) restoreDrains(ctx context.Context, drains []platform.Object, generation uint64) {
-	if !r.watching(1) {
+	if !r.isWatcher(1) {
 		return
 	}
 	stored := map[string]bool{}
@@ -49,7 +49,7 @@
 		stored[o.Name] = json.Unmarshal(o.Value, &d) == nil && d.On
 	}
 	for _, fact := range r.gossip.Facts(drainPrefix) {
-		endpoint, on := strings.TrimPrefix(fact.Key, drainPrefix), string(fact.Value) == yes
+		endpoint, on := strings.TrimPrefix(fact.Key, drainPrefix), string(fact.Value) == factTrue
 		if storeversion.GenerationOf(fact.Version) >= generation || stored[endpoint] == on {
 			continue
 		}
--- a/driver/rollout/rollout.go
+++ b/driver/rollout/rollout.go
@@ -34,16 +34,16 @@
 	factConfig    = "config"
 	drainPrefix   = "d/" // of facts: whether an operator drains an endpoint
 	leavingPrefix = "e/" // of facts: whether the host list calls an endpoint leaving
-	yes           = "1"
-	no            = "0"
+	factTrue      = "1"
+	factFalse     = "0"
 )
 
 const (
-	watchers    = 3 // daemons that watch the platform, independent of the number of daemons
-	watchWait   = 5 * time.Second
-	rereadEvery = 10 * time.Second // for reads of the pointer beside the watch, which may lag
-	hostsEvery  = time.Second
-	retryWait   = 500 * time.Millisecond
+	watcherCount   = 3 // daemons that watch the platform, independent of the number of daemons
+	watchWait      = 5 * time.Second
+	rereadInterval = 10 * time.Second // for reads of the pointer beside the watch, which may lag
+	hostsInterval  = time.Second
+	retryDelay     = 500 * time.Millisecond
 )
 
 // Rollout adopts new generations of the configuration, and carries out operators' changes. It is safe
@@ -65,7 +65,7 @@
 // New returns a Rollout without a configuration.
 func New(log *decisions.Log, p *platform.Client, c *peers.Client, g *gossip.Gossip) *Rollout {
 	r := &Rollout{log: log, platform: p, peers: c, gossip: g, wake: make(chan struct{}, 1)}
-	g.OnChange(r.kick)
+	g.OnChange(r.wakeRun)
 	return r
 }
 
@@ -77,7 +77,7 @@
 func (r *Rollout) Current() *snapshot.Snapshot { return r.current.Load() }
 
 // wakeRun makes Run look for a new generation.
-func (r *Rollout) kick() { wake.Once(r.wake) }
+func (r *Rollout) wakeRun() { wake.Once(r.wake) }
 
 // Run adopts new generations until ctx ends.
 func (r *Rollout) Run(ctx context.Context) error {
@@ -86,7 +86,7 @@
 	wg.Go(func() { r.watchHosts(ctx) })
 	for ctx.Err() == nil {
 		if !r.adoptOffered(ctx) {
-			pause.For(ctx, retryWait)
+			pause.For(ctx, retryDelay)
 			continue
 		}
 		select {
@@ -185,17 +185,17 @@
 
 // publishPointer publishes a pointer that the platform has accepted to all daemons. It ignores the
 // zero pointer.
-func (r *Rollout) offer(p rules.Pointer) {
+func (r *Rollout) publishPointer(p rules.Pointer) {
 	value, err := json.Marshal(p.Step)
 	if err != nil || p.Generation == 0 {
 		return
 	}
 	r.gossip.Set(membership.Entry{Key: factConfig, Version: p.Generation, Value: value})
-	r.kick()
+	r.wakeRun()
 }
 
 // isWatcher reports whether this daemon is one of the n that watch the platform for all daemons.
-func (r *Rollout) watching(n int) bool {
+func (r *Rollout) isWatcher(n int) bool {
 	self := r.gossip.Self().ID
 	list := membership.Rendezvous("config-watch", r.gossip.Members())
 	for i := range list[:min(n, len(list))] {
@@ -211,15 +211,15 @@
 func (r *Rollout) watch(ctx context.Context) {
 	since, readAt := storeversion.Version{}, time.Time{}
 	for ctx.Err() == nil {
-		if r.generation() > 0 && !r.watching(watchers) {
+		if r.generation() > 0 && !r.isWatcher(watcherCount) {
 			pause.For(ctx, time.Second)
 			continue
 		}
-		if time.Since(readAt) >= rereadEvery {
+		if time.Since(readAt) >= rereadInterval {
 			err := r.readPointer(ctx)
 			r.platformAnswered(ctx, err)
 			if err != nil {
-				pause.For(ctx, retryWait)
+				pause.For(ctx, retryDelay)
 				continue
 			}
 			readAt = time.Now()
@@ -235,26 +235,26 @@
 		}
 		if err != nil {
 			readAt = time.Time{}
-			pause.For(ctx, retryWait)
+			pause.For(ctx, retryDelay)
 			continue
 		}
 		since = storeversion.Version{Generation: w.Generation, Revision: w.Revision}
 		for _, o := range w.Objects {
-			r.watched(o, w.Generation)
+			r.handleChange(o, w.Generation)
 		}
 	}
 }
 
 // handleChange publishes a changed object of the watch.
-func (r *Rollout) watched(o platform.Object, generation uint64) {
+func (r *Rollout) handleChange(o platform.Object, generation uint64) {
 	switch o.Kind {
 	case platform.KindConfig:
 		var p rules.Pointer
 		if json.Unmarshal(o.Value, &p) == nil {
-			r.offer(p)
+			r.publishPointer(p)
 		}
 	case platform.KindDrain:
-		r.drainFact(o, generation)
+		r.publishDrain(o, generation)
 	}
 }
 
@@ -281,8 +281,8 @@
 	if err != nil && !errors.Is(err, platform.ErrNotFound) {
 		return err
 	}
-	r.offer(p)
-	if p.Generation < r.generation() && r.watching(1) {
+	r.publishPointer(p)
+	if p.Generation < r.generation() && r.isWatcher(1) {
 		r.restorePointer(ctx, p, version)
 	}
 	drains, generation, err := r.platform.List(ctx, platform.KindDrain)
@@ -291,40 +291,40 @@
 	}
 	r.restoreDrains(ctx, drains, generation)
 	for _, o := range drains {
-		r.drainFact(o, generation)
+		r.publishDrain(o, generation)
 	}
 	return nil
 }
 
 // publishDrain publishes a stored drain, unless the object is older than the published fact.
-func (r *Rollout) drainFact(o platform.Object, generation uint64) {
+func (r *Rollout) publishDrain(o platform.Object, generation uint64) {
 	var drain Drain
 	if o.Deleted || json.Unmarshal(o.Value, &drain) != nil {
 		return
 	}
 	known, ok := r.gossip.Get(drainPrefix + o.Name)
-	if ok && storeversion.GenerationOf(known.Version) < generation && string(known.Value) != flag(drain.On) {
+	if ok && storeversion.GenerationOf(known.Version) < generation && string(known.Value) != factValue(drain.On) {
 		return // the object is from the copy that the platform was restored from; see restoreDrains
 	}
 	r.setDrainFact(o.Name, storeversion.Version{Generation: generation, Revision: o.Version}, drain.On)
 }
 
 func (r *Rollout) setDrainFact(endpoint string, version storeversion.Version, on bool) {
-	r.gossip.Set(membership.Entry{Key: drainPrefix + endpoint, Version: version.Number(), Value: []byte(flag(on))})
+	r.gossip.Set(membership.Entry{Key: drainPrefix + endpoint, Version: version.Number(), Value: []byte(factValue(on))})
 }
 
 // factValue returns the value of a fact that stands for b.
-func flag(b bool) string {
+func factValue(b bool) string {
 	if b {
-		return yes
+		return factTrue
 	}
-	return no
+	return factFalse
 }
 
 // Leaving reports whether an operator drains an endpoint, or the host list calls it leaving.
 func (r *Rollout) Leaving(endpoint string) bool {
 	for _, key := range []string{drainPrefix + endpoint, leavingPrefix + endpoint} {
-		if e, ok := r.gossip.Get(key); ok && string(e.Value) == yes {
+		if e, ok := r.gossip.Get(key); ok && string(e.Value) == factTrue {
 			return true
 		}
 	}
@@ -335,17 +335,17 @@
 // does it for all daemons.
 func (r *Rollout) watchHosts(ctx context.Context) {
 	for ctx.Err() == nil {
-		if s := r.current.Load(); s != nil && r.watching(1) {
+		if s := r.current.Load(); s != nil && r.isWatcher(1) {
 			if hosts, err := r.platform.Hosts(ctx); err == nil {
-				r.hostFacts(s, hosts)
+				r.publishHosts(s, hosts)
 			}
 		}
-		pause.For(ctx, hostsEvery)
+		pause.For(ctx, hostsInterval)
 	}
 }
 
 // publishHosts publishes the endpoints whose leaving state in the host list has changed.
-func (r *Rollout) hostFacts(s *snapshot.Snapshot, hosts []platform.Host) {
+func (r *Rollout) publishHosts(s *snapshot.Snapshot, hosts []platform.Host) {
 	leaving := map[string]bool{}
 	for _, h := range hosts {
 		if h.Role == platform.RoleEndpoint {
@@ -357,10 +357,10 @@
 			is, listed := leaving[e.Address]
 			key := leavingPrefix + e.Name
 			old, known := r.gossip.Get(key)
-			if !listed || flag(is) == string(old.Value) || !known && !is {
+			if !listed || factValue(is) == string(old.Value) || !known && !is {
 				continue
 			}
-			r.gossip.Set(membership.Entry{Key: key, Version: uint64(time.Now().UnixNano()), Value: []byte(flag(is))})
+			r.gossip.Set(membership.Entry{Key: key, Version: uint64(time.Now().UnixNano()), Value: []byte(factValue(is))})
 		}
 	}
 }
