--- a/driver/quotas/endpoints.go
+++ b/driver/quotas/endpoints.go
@@ -100,7 +100,7 @@
 // room.
 const minRetryAfter = 20 * time.Millisecond
 
-// RateShare returns the rate that this daemon may count on of an endpoint's limit, in requests a
+// RateShare returns the part of an endpoint's limit that this daemon may count on, in requests a
 // second; zero if no owner has granted one.
 func (e *Endpoints) RateShare(incarnation fleet.Incarnation) float64 {
 	return e.shared.rateShare(incarnation.String())
--- a/driver/quotas/sharer.go
+++ b/driver/quotas/sharer.go
@@ -110,7 +110,7 @@
 	return s.client.RetryAfter(s.opt.Clock(), subject)
 }
 
-// rateShare returns the rate that this daemon may count on of a subject's rate, in units a second.
+// rateShare returns the part of a subject's rate that this daemon may count on, in units a second.
 func (s *sharer) rateShare(subject string) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
