--- a/driver/quotas/fleet_test.go
+++ b/driver/quotas/fleet_test.go
@@ -23,68 +23,68 @@
 	"github.com/doorvalve/doorvalve/state/workspace"
 )
 
-// installation is daemons in virtual time, with the workspaces that callers send for.
+// installation is a fleet of daemons in virtual time, with workspaces and their load.
 type installation struct {
 	log    *decisions.Log
 	bounds quota.Bounds
 
-	mu        sync.Mutex
-	rng       *rand.Rand
-	hosts     []*host
-	directory *workspace.Directory
-	version   uint64
-	draws     int
-	passed    map[string][]passed
-	refused   map[string]int
-	offered   map[string][]passed
-	store     *record.Store
-	heard     *generations.Tracker // of the store, by all daemons
+	mu          sync.Mutex
+	rng         *rand.Rand
+	hosts       []*host
+	directory   *workspace.Directory
+	version     uint64
+	draws       int
+	passed      map[string][]passed
+	refused     map[string]int
+	offered     map[string][]passed
+	store       *record.Store
+	generations *generations.Tracker // of the store, shared by all daemons
 }
 
-// storeTakes is the time that a call to the store takes.
-const storeTakes = 5 * time.Millisecond
+// storeLatency is the time that a call to the store takes.
+const storeLatency = 5 * time.Millisecond
 
-// passed is a request that was let through, or came.
+// passed is a request that was admitted, or offered.
 type passed struct {
 	at   time.Time
 	cost float64
 }
 
-// host runs one daemon after the other.
+// host runs one daemon at a time, with a new id after each start.
 type host struct {
 	in    *installation
 	name  string
 	index int
 
-	mu     sync.Mutex
-	id     string
-	lives  int
-	keeper *Controller
-	stop   context.CancelFunc
-	cut    bool      // from all other daemons
-	frozen time.Time // until then
-	goneAt time.Time // since when others hear nothing; zero while they do
-	backAt time.Time // since when this daemon is up
-	// settledAt is when it had heard what the others know, and full until when it sends
-	// nothing to the endpoint that has no room.
-	settledAt time.Time
-	full      time.Time
+	mu               sync.Mutex
+	id               string
+	starts           int
+	controller       *Controller
+	stop             context.CancelFunc
+	partitioned      bool      // from all other daemons
+	frozen           time.Time // until when the daemon is frozen
+	unreachableSince time.Time // since when other daemons do not reach this one; zero while they do
+	startedAt        time.Time // when this daemon started
+	// syncedAt is when the daemon had received the facts of the others, and noRoomUntil is until when
+	// it sends no requests to the endpoint, which has no room.
+	syncedAt    time.Time
+	noRoomUntil time.Time
 }
 
-// deadAfter is how long others take a daemon for alive that they hear no more, and joinFor
-// how long a new one is unknown to them.
+// deadAfter is how long other daemons list an unreachable daemon as alive, and joinFor is how long a
+// new daemon is unknown to them.
 const (
 	deadAfter = 4 * time.Second
-	joinFor   = 200 * time.Millisecond
+	joinDelay = 200 * time.Millisecond
 )
 
 func newInstallation(hosts int, seed uint64, list ...workspace.Declaration) *installation {
 	in := &installation{
 		log: decisions.New(io.Discard, "test", hclog.Off), rng: rand.New(rand.NewPCG(seed, 0)),
 		bounds:    quota.Bounds{Window: 8 * time.Second, Overage: 0.1, Slack: 17000, NewOwnerShare: quota.DefaultNewOwnerShare},
-		directory: workspace.NewDirectory(list), version: 1, passed: map[string][]passed{}, refused: map[string]int{}, offered: map[string][]passed{}, store: &record.Store{Latency: storeTakes},
+		directory: workspace.NewDirectory(list), version: 1, passed: map[string][]passed{}, refused: map[string]int{}, offered: map[string][]passed{}, store: &record.Store{Latency: storeLatency},
 	}
-	in.heard = generations.New(in.log, tally.NoopScope)
+	in.generations = generations.New(in.log, tally.NoopScope)
 	for i := range hosts {
 		in.hosts = append(in.hosts, &host{in: in, name: fmt.Sprintf("h%d", i), index: i})
 	}
@@ -94,45 +94,46 @@
 	return in
 }
 
-func (in *installation) end() {
+func (in *installation) stop() {
 	for _, h := range in.hosts {
 		h.stop()
 	}
-	time.Sleep(time.Minute) // what is on its way ends
+	time.Sleep(time.Minute) // for calls that are still in progress
 	in.log.Close()
 }
 
 func (h *host) start() {
 	ctx, cancel := context.WithCancel(context.Background())
 	h.mu.Lock()
-	h.lives++
-	h.id = fmt.Sprintf("%s-%d", h.name, h.lives)
-	h.goneAt, h.backAt = time.Time{}, time.Now()
+	h.starts++
+	h.id = fmt.Sprintf("%s-%d", h.name, h.starts)
+	h.unreachableSince, h.startedAt = time.Time{}, time.Now()
 	h.mu.Unlock()
 	k := New(Options{
 		Self: h.id, Bounds: h.in.bounds, Members: h.members, Revision: func() uint64 { return uint64(time.Now().UnixNano() / int64(100*time.Millisecond)) },
-		Directory: h.in.workspaces, Publish: h.tell, Store: h.in.store, Generations: h.in.heard, Peer: func(address string) quotapb.Quotas { return link{h, address} }, Clock: time.Now, Log: h.in.log, Metrics: tally.NoopScope,
+		Directory: h.in.workspaces, Publish: h.publishFact, Store: h.in.store, Generations: h.in.generations, Peer: func(address string) quotapb.Quotas { return link{h, address} }, Clock: time.Now, Log: h.in.log, Metrics: tally.NoopScope,
 	})
 	h.mu.Lock()
 	if h.stop != nil {
 		h.stop()
 	}
-	h.keeper, h.stop = k, cancel
-	h.full = time.Time{}
+	h.controller, h.stop = k, cancel
+	h.noRoomUntil = time.Time{}
 	h.mu.Unlock()
 	go func() { _ = k.Run(ctx) }()
-	go h.hearFacts(k)
+	go h.receiveFacts(k)
 }
 
-// factDelay bounds the time that a fact takes to most daemons, and factLate to the few that
-// the first round has missed: in the membership the last of 375 knows after half a second.
+// factDelay bounds the time until a fact reaches most daemons, and factLate the additional time until
+// it reaches the few that the first round of gossip has missed: with the real membership, the last of
+// 375 daemons receives a fact after half a second.
 const (
 	factDelay = 50 * time.Millisecond
 	factLate  = 450 * time.Millisecond
 )
 
-// tell takes a fact to all other daemons that can be reached: one in twenty hears it late.
-func (h *host) tell(f membership.Entry) {
+// publishFact delivers a fact to all other daemons that can be reached, to one in twenty of them late.
+func (h *host) publishFact(f membership.Entry) {
 	for _, o := range h.in.hosts {
 		if o == h {
 			continue
@@ -142,64 +143,64 @@
 			d += time.Duration(h.in.chance(int(factLate)))
 		}
 		time.AfterFunc(d, func() {
-			if k := o.current(); k != nil && !h.isCut() && !o.isCut() {
+			if k := o.current(); k != nil && !h.isPartitioned() && !o.isPartitioned() {
 				k.Endpoints().ReceiveFact(f)
 			}
 		})
 	}
 }
 
-// hearFacts brings a daemon that has just joined the facts that the others know.
-func (h *host) hearFacts(k *Controller) {
-	time.Sleep(joinFor)
+// receiveFacts delivers the facts that the other daemons hold to a daemon that has just joined.
+func (h *host) receiveFacts(k *Controller) {
+	time.Sleep(joinDelay)
 	for _, o := range h.in.hosts {
 		other := o.current()
-		if o == h || other == nil || o.isCut() || h.isCut() {
+		if o == h || other == nil || o.isPartitioned() || h.isPartitioned() {
 			continue
 		}
-		for life, w := range other.Endpoints().Limited() {
-			k.Endpoints().ReceiveFact(factOf(limit.Change{Incarnation: life, Now: w}))
+		for incarnation, report := range other.Endpoints().Limited() {
+			k.Endpoints().ReceiveFact(factOf(limit.Change{Incarnation: incarnation, Now: report}))
 		}
 	}
 	h.mu.Lock()
-	h.settledAt = time.Now()
+	h.syncedAt = time.Now()
 	h.mu.Unlock()
 }
 
-func (h *host) isCut() bool {
+func (h *host) isPartitioned() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.cut
+	return h.partitioned
 }
 
-// kill ends a daemon; the next one starts after a while.
+// kill stops the daemon without notice, and starts the next one after a pause.
 func (h *host) kill(down time.Duration) {
 	h.mu.Lock()
-	h.keeper, h.goneAt = nil, time.Now()
+	h.controller, h.unreachableSince = nil, time.Now()
 	h.mu.Unlock()
 	time.Sleep(down)
 	h.start()
 }
 
-// cutOff cuts a daemon off from all others for a while.
-func (h *host) cutOff(d time.Duration) {
+// partition separates the daemon from all others for a while.
+func (h *host) partition(d time.Duration) {
 	h.mu.Lock()
-	h.cut, h.goneAt = true, time.Now()
+	h.partitioned, h.unreachableSince = true, time.Now()
 	h.mu.Unlock()
 	time.Sleep(d)
 	h.mu.Lock()
-	h.cut, h.goneAt = false, time.Time{}
+	h.partitioned, h.unreachableSince = false, time.Time{}
 	h.mu.Unlock()
 }
 
-// freeze stops a daemon for a while: it answers nobody, and takes no requests.
+// freeze suspends the daemon for a while: it answers no peers, and takes no requests.
 func (h *host) freeze(d time.Duration) {
 	h.mu.Lock()
-	h.frozen, h.goneAt = time.Now().Add(d), time.Now()
+	h.frozen, h.unreachableSince = time.Now().Add(d), time.Now()
 	h.mu.Unlock()
 	time.Sleep(d)
 	h.mu.Lock()
-	h.goneAt = time.Time{}
+	h.unreachableSince = time.Time{}
 	h.mu.Unlock()
 }
 
@@ -209,28 +210,28 @@
 	if time.Now().Before(h.frozen) {
 		return nil
 	}
-	return h.keeper
+	return h.controller
 }
 
-// members is a daemon's view of all.
+// members returns the membership as this host's daemon sees it.
 func (h *host) members() []membership.Member {
 	now := time.Now()
 	h.mu.Lock()
-	cutSince := time.Time{}
-	if h.cut {
-		cutSince = h.goneAt
+	partitionedSince := time.Time{}
+	if h.partitioned {
+		partitionedSince = h.unreachableSince
 	}
 	h.mu.Unlock()
 	list := make([]membership.Member, 0, len(h.in.hosts))
 	for _, o := range h.in.hosts {
 		o.mu.Lock()
 		m := membership.Member{ID: o.id, Host: o.name, PeerAddress: fmt.Sprint(o.index), Status: membership.Alive}
-		gone, back := o.goneAt, o.backAt
+		unreachableSince, startedAt := o.unreachableSince, o.startedAt
 		o.mu.Unlock()
-		if o != h && (!gone.IsZero() && now.Sub(gone) > deadAfter || !cutSince.IsZero() && now.Sub(cutSince) > deadAfter) {
+		if o != h && (!unreachableSince.IsZero() && now.Sub(unreachableSince) > deadAfter || !partitionedSince.IsZero() && now.Sub(partitionedSince) > deadAfter) {
 			m.Status = membership.Dead
 		}
-		if o == h || now.Sub(back) > joinFor {
+		if o == h || now.Sub(startedAt) > joinDelay {
 			list = append(list, m)
 		}
 	}
@@ -263,8 +264,8 @@
 }
 
 var (
-	errCut  = errors.New("cut off")
-	errGone = errors.New("nothing listens there")
+	errPartitioned = errors.New("partitioned")
+	errDaemonDown  = errors.New("daemon is down")
 )
 
 // Draw implements quotapb.Quotas.
@@ -279,39 +280,39 @@
 	time.Sleep(time.Duration(1+in.chance(3)) * time.Millisecond)
 	for _, h := range []*host{l.from, to} {
 		h.mu.Lock()
-		silent := h.cut || time.Now().Before(h.frozen)
+		unreachable := h.partitioned || time.Now().Before(h.frozen)
 		h.mu.Unlock()
-		if silent {
+		if unreachable {
 			<-ctx.Done()
-			return nil, errCut
+			return nil, errPartitioned
 		}
 	}
 	k := to.current()
 	if k == nil {
-		return nil, errGone
+		return nil, errDaemonDown
 	}
 	return k.Draw(ctx, req)
 }
 
-// drawn returns the number of questions so far.
-func (in *installation) drawn() int {
+// drawCount returns the number of draws so far.
+func (in *installation) drawCount() int {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	return in.draws
 }
 
-// serve lets a request come at a daemon; it is not counted if that one is down.
+// serve offers a request to a host's daemon; the request is not counted if the daemon is down.
 func (in *installation) serve(h *host, name string, cost float64) {
 	k := h.current()
 	if k == nil {
 		return
 	}
 	directory, _ := in.workspaces()
-	came := time.Now()
+	arrivedAt := time.Now()
 	_, refusal := k.Admit(context.Background(), directory.ByName(name), cost, false)
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	in.offered[name] = append(in.offered[name], passed{came, cost})
+	in.offered[name] = append(in.offered[name], passed{arrivedAt, cost})
 	if refusal != nil {
 		in.refused[name]++
 		return
@@ -319,19 +320,19 @@
 	in.passed[name] = append(in.passed[name], passed{time.Now(), cost})
 }
 
-// load is what callers of a workspace send.
+// load describes the requests that callers of a workspace send.
 type load struct {
 	name string
 	rate func(at time.Duration) float64 // units a second
-	// hosts that callers send to; nil: all.
+	// hosts are those that callers send to; nil: all.
 	hosts []*host
 }
 
-// requestCost is the mean of a request's units: half of the requests take half as much, the
-// others half as much again.
+// requestCost is the mean cost of a request in units: half of the requests cost 0.5 times as much, the
+// others 1.5 times.
 const requestCost = 1000
 
-// send lets callers send for a while.
+// send generates the requests of a load for a while.
 func (in *installation) send(l load, d time.Duration) {
 	hosts := l.hosts
 	if hosts == nil {
@@ -340,7 +341,7 @@
 	start := time.Now()
 	for time.Since(start) < d {
 		rate := l.rate(time.Since(start))
-		// Arrivals at random, on average at the rate.
+		// A Poisson process with the mean rate of the load.
 		in.mu.Lock()
 		gap := time.Duration(in.rng.ExpFloat64() * requestCost / rate * float64(time.Second))
 		cost := requestCost/2 + float64(in.rng.IntN(2)*requestCost)
@@ -355,28 +356,28 @@
 	time.Sleep(time.Second)
 }
 
-// worst returns the most units that went through in a window, beyond what the rule allows
-// in it; negative where that was never reached.
-func (in *installation) worst(name string, l quota.Limits) float64 {
+// maxExcess returns by how many units the admitted ones exceed the bound, in the window with the
+// largest excess; negative if no window reaches the bound.
+func (in *installation) maxExcess(name string, l quota.Limits) float64 {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	list := in.passed[name]
 	slices.SortFunc(list, func(a, b passed) int { return a.at.Compare(b.at) })
-	most := in.bounds.Slack + (1+in.bounds.Overage)*(l.Rate*in.bounds.Window.Seconds()+l.Burst)
-	worst, sum, from := -most, 0.0, 0
+	allowed := in.bounds.Slack + (1+in.bounds.Overage)*(l.Rate*in.bounds.Window.Seconds()+l.Burst)
+	worst, sum, from := -allowed, 0.0, 0
 	for _, p := range list {
 		sum += p.cost
 		for p.at.Sub(list[from].at) > in.bounds.Window {
 			sum -= list[from].cost
 			from++
 		}
-		worst = max(worst, sum-most)
+		worst = max(worst, sum-allowed)
 	}
 	return worst
 }
 
-// between returns the units that went through in some time.
-func (in *installation) between(name string, from, to time.Time) float64 {
+// admittedBetween returns the units that were admitted in a period.
+func (in *installation) admittedBetween(name string, from, to time.Time) float64 {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	sum := 0.0
@@ -388,14 +389,14 @@
 	return sum
 }
 
-// bucket is what one token bucket for all would have made of what came.
+// bucket is the result of the offered requests at one central token bucket.
 type bucket struct {
-	units   float64 // let through
-	refused int
+	units   float64 // admitted
+	refused int     // requests
 }
 
-// central returns what one token bucket for all would have made of what came, and what went
-// through.
+// central returns the result of the offered requests at one central token bucket, and the units that
+// were admitted in fact.
 func (in *installation) central(name string, l quota.Limits) (central bucket, through float64) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
--- a/driver/quotas/record.go
+++ b/driver/quotas/record.go
@@ -13,21 +13,22 @@
 	"github.com/doorvalve/doorvalve/state/fleet"
 )
 
-// What daemons know of endpoints' limits ends with the last of them, and until an answer tells
-// the first one again all would send as if there was none. So the limits stand in one record of
-// the store as well: written by one daemon when one begins, ends or has changed by much, read by
-// each daemon once, as it starts.
+// Daemons hold the limits of endpoints in memory. If all daemons stopped, they would send without a
+// limit after their start until the first answers report it again. The limits are therefore also
+// kept in one record of the store. One daemon writes it when a limit begins, ends or changes
+// considerably; each daemon reads it once, at its start.
 
 const (
 	// recordName names the record in the store.
 	recordName = "limits"
-	// readPause is the pause between two tries to read the record as this daemon starts.
+	// readPause is the pause between two attempts to read the record at the start of this daemon.
 	readPause = 100 * time.Millisecond
-	// recordChange is by which part a limit has to change to be written again: who reads it
-	// hears the true one with the first answer.
+	// recordChange is the relative change of a limit from which on it is written again. Smaller
+	// changes need no write: a daemon that has read the record gets the current limit with the
+	// endpoint's first answer.
 	recordChange = 0.25
-	// recordMost bounds the limits of the record.
-	recordMost = 1024
+	// maxRecorded bounds the limits of the record.
+	maxRecorded = 1024
 )
 
 // limitsRecord is the object in the store.
@@ -37,25 +38,26 @@
 
 type recordedLimit struct {
 	Endpoint string  `json:"endpoint"`
-	Born     int64   `json:"born"`
+	Born     int64   `json:"born"` // start of the endpoint's process, in Unix ms
 	Rate     float64 `json:"rate"` // requests a second
 	Version  uint64  `json:"version"`
 }
 
-// Settle waits until a daemon that has just started has read which limits there are, for a
-// while.
+// WaitSynced waits until this daemon has read the record of limits, at most until joinTimeout after
+// its start.
 func (e *Endpoints) WaitSynced(ctx context.Context) {
 	select {
-	case <-e.settled:
+	case <-e.synced:
 	default:
-		pause.Until(ctx, time.Now().Add(joinWithin-e.opt.Clock().Sub(e.shared.fleet.started)), e.settled)
+		pause.Until(ctx, time.Now().Add(joinTimeout-e.opt.Clock().Sub(e.shared.roster.started)), e.synced)
 	}
 }
 
-// readFirst reads the record as this daemon starts.
-func (e *Endpoints) readFirst(ctx context.Context) {
-	defer close(e.settled)
-	for e.record.HasStore() && ctx.Err() == nil && e.opt.Clock().Sub(e.shared.fleet.started) < joinWithin {
+// readAtStart reads the record, and tries again until joinTimeout has passed since the start of
+// this daemon. It closes synced.
+func (e *Endpoints) readAtStart(ctx context.Context) {
+	defer close(e.synced)
+	for e.record.HasStore() && ctx.Err() == nil && e.opt.Clock().Sub(e.shared.roster.started) < joinTimeout {
 		err := e.readRecord(ctx)
 		if err == nil {
 			return
@@ -65,8 +67,9 @@
 	}
 }
 
-// keepRecord writes the record, if that is due and this daemon's to do.
-func (e *Endpoints) keepRecord(ctx context.Context) {
+// syncRecord writes the record, if it is out of date and this daemon is its writer. If the content
+// of the store is not known, as after a conflict or a restore, it reads the record first.
+func (e *Endpoints) syncRecord(ctx context.Context) {
 	if !e.record.Due(e.opt.Clock()) {
 		return
 	}
@@ -85,14 +88,15 @@
 	}
 }
 
-// differs reports whether limits should be written that were recorded otherwise.
+// differs reports whether the limits in force differ from the recorded ones by enough to be
+// written.
 func differs(recorded map[fleet.Incarnation]float64, limited map[fleet.Incarnation]limit.Report) bool {
 	if len(limited) != len(recorded) {
 		return true
 	}
-	for life, w := range limited {
-		rate, ok := recorded[life]
-		if !ok || max(rate-w.Rate, w.Rate-rate) > recordChange*rate {
+	for incarnation, report := range limited {
+		rate, ok := recorded[incarnation]
+		if !ok || max(rate-report.Rate, report.Rate-rate) > recordChange*rate {
 			return true
 		}
 	}
@@ -106,9 +110,9 @@
 	}
 	e.recorded = map[fleet.Incarnation]float64{}
 	for _, l := range rec.Limits {
-		life := fleet.Incarnation{ID: l.Endpoint, StartUnixMs: l.Born}
-		e.recorded[life] = l.Rate
-		e.learn(life, limit.Report{Rate: max(0, l.Rate), Limited: true, Version: l.Version, Reporter: recordName})
+		incarnation := fleet.Incarnation{ID: l.Endpoint, StartUnixMs: l.Born}
+		e.recorded[incarnation] = l.Rate
+		e.receiveReport(incarnation, limit.Report{Rate: max(0, l.Rate), Limited: true, Version: l.Version, Reporter: recordName})
 	}
 	if len(rec.Limits) > 0 {
 		e.opt.Log.Info(decisions.EventLimitsRecord, "read", true, "limited", len(rec.Limits), "version", e.record.Version())
@@ -119,11 +123,11 @@
 func (e *Endpoints) writeRecord(ctx context.Context, limited map[fleet.Incarnation]limit.Report) error {
 	recorded := make(map[fleet.Incarnation]float64, len(limited))
 	var rec limitsRecord
-	for _, life := range slices.SortedFunc(maps.Keys(limited), func(a, b fleet.Incarnation) int { return cmp.Compare(a.ID, b.ID) }) {
-		w := limited[life]
-		recorded[life] = w.Rate
-		if len(rec.Limits) < recordMost {
-			rec.Limits = append(rec.Limits, recordedLimit{life.ID, life.StartUnixMs, w.Rate, w.Version})
+	for _, incarnation := range slices.SortedFunc(maps.Keys(limited), func(a, b fleet.Incarnation) int { return cmp.Compare(a.ID, b.ID) }) {
+		report := limited[incarnation]
+		recorded[incarnation] = report.Rate
+		if len(rec.Limits) < maxRecorded {
+			rec.Limits = append(rec.Limits, recordedLimit{incarnation.ID, incarnation.StartUnixMs, report.Rate, report.Version})
 		}
 	}
 	written, err := e.record.Write(ctx, e.opt.Clock(), rec)
